--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -44,7 +44,7 @@
             return Some(0);
         }
         let listed = self.state.directory.destinations.contains_key(&submission.destination);
-        let wait = settings.max_retry_after.min(self.parameters.objective_part(1));
+        let wait = settings.max_retry_after.min(self.parameters.objective_divided_by(1));
         (!listed && !submission.history.accepted).then_some(wait)
     }
 
--- a/src/decision/endpoint_choice.rs
+++ b/src/decision/endpoint_choice.rs
@@ -42,7 +42,7 @@
                 let value_rate = choice.value * messages_per_call / slot_time;
                 return Ok(Candidate { value_rate, route: route_id, message: choice.id });
             } else {
-                look_again_at = look_again_at.min(now + parameters.objective_part(16));
+                look_again_at = look_again_at.min(now + parameters.objective_divided_by(16));
             }
         }
         Err(look_again_at)
--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -26,7 +26,7 @@
     pub(super) fn retry_subscription(&mut self, now: Micros) {
         self.state.subscription_failures += 1;
         let doublings = self.state.subscription_failures.min(MAX_BACKOFF_DOUBLINGS);
-        let backoff = self.parameters.objective_part(8) << doublings;
+        let backoff = self.parameters.objective_divided_by(8) << doublings;
         let jitter = (backoff as f64 * random_unit(&mut self.state.seed)) as Micros;
         self.state.subscribe_at = Some(now + backoff / 2 + jitter);
     }
--- a/src/decision/outcome.rs
+++ b/src/decision/outcome.rs
@@ -82,7 +82,7 @@
             return self.reject(now, id, actions);
         }
         let doublings = (message.attempts - 1).min(MAX_RETRY_DELAY_DOUBLINGS);
-        let delay = self.parameters.objective_part(RETRY_DELAY_OBJECTIVE_DIVISOR) << doublings;
+        let delay = self.parameters.objective_divided_by(RETRY_DELAY_OBJECTIVE_DIVISOR) << doublings;
         // A retry on a new connection may follow a stale one at once. What the host held back is delayed.
         let held_back_by_host = end.unsent && end.outcome == Outcome::NotSent;
         let not_executed = end.outcome.never_executed() && !held_back_by_host;
--- a/src/decision/parameters.rs
+++ b/src/decision/parameters.rs
@@ -62,7 +62,7 @@
     }
 
     /// The latency objective divided by a whole number, in whole microseconds.
-    pub(super) fn objective_part(&self, divisor: Micros) -> Micros {
+    pub(super) fn objective_divided_by(&self, divisor: Micros) -> Micros {
         self.latency_objective as Micros / divisor
     }
 
@@ -73,6 +73,6 @@
 
     /// Additional age that a call must have before it is cancelled if that loses a message.
     pub(super) fn cancellation_reserve(&self, at_most_once: bool) -> Micros {
-        if at_most_once { self.objective_part(2) } else { 0 }
+        if at_most_once { self.objective_divided_by(2) } else { 0 }
     }
 }
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -93,7 +93,7 @@
                     continue;
                 }
                 // Where calls fail, a message that must not be executed twice waits for a recovery.
-                let may_wait = delivered_at + self.parameters.objective_part(4) < message.due;
+                let may_wait = delivered_at + self.parameters.objective_divided_by(4) < message.due;
                 if wait_for_recovery && may_wait && at_most_once(key.class) {
                     continue;
                 }
