--- a/src/estimators/decaying_counter.rs
+++ b/src/estimators/decaying_counter.rs
@@ -10,12 +10,12 @@
 }
 
 impl DecayingCounter {
-    /// A counter that has this value now.
+    /// Creates a counter with this value at `now`.
     pub(crate) fn of(count: f64, now: Micros) -> DecayingCounter {
         DecayingCounter { count, updated_at: now }
     }
 
-    /// The present value, where the count falls by a factor of e in each `time_constant` (microseconds).
+    /// Returns the count at `now`. It falls by a factor of e in each `time_constant` (microseconds).
     pub(crate) fn get(&self, now: Micros, time_constant: f64) -> f64 {
         self.count * (-((now - self.updated_at) as f64) / time_constant).exp()
     }
--- a/src/estimators/mod.rs
+++ b/src/estimators/mod.rs
@@ -1,4 +1,4 @@
-//! Estimators: counters, averages and random numbers. Nothing in this module decides anything.
+//! Estimators: counters, averages, rates and random numbers. No decision is made here.
 
 mod decaying_counter;
 mod moving_average;
--- a/src/estimators/moving_average.rs
+++ b/src/estimators/moving_average.rs
@@ -5,7 +5,7 @@
 pub(crate) struct MovingAverage(f64);
 
 impl MovingAverage {
-    /// An average that has this value.
+    /// Creates an average with this value.
     pub(crate) fn of(value: f64) -> MovingAverage {
         MovingAverage(value)
     }
@@ -15,7 +15,7 @@
         self.0
     }
 
-    /// Takes in a sample. The first one is taken as it is; later ones count with `gain`, from 0 to 1.
+    /// Adds a sample. The first sample becomes the average; later ones are weighted by `gain`, from 0 to 1.
     pub(crate) fn add(&mut self, sample: f64, gain: f64) {
         self.0 = if self.0 == 0.0 { sample } else { self.0 + gain * (sample - self.0) };
     }
--- a/src/estimators/random.rs
+++ b/src/estimators/random.rs
@@ -8,7 +8,7 @@
     (*seed >> 11) as f64 / (1u64 << 53) as f64
 }
 
-/// A random factor from 0.5 (included) to 1.5 (excluded), so that many senders do not act in step.
+/// A random factor from 0.5 (included) to 1.5 (excluded), so that many senders do not act at the same time.
 pub(crate) fn random_jitter(seed: &mut u64) -> f64 {
     0.5 + random_unit(seed)
 }
--- a/src/estimators/rate_estimator.rs
+++ b/src/estimators/rate_estimator.rs
@@ -3,7 +3,7 @@
 use super::{DecayingCounter, SECOND};
 use crate::interface::Micros;
 
-/// Estimates the rate of recent events from a decaying count, corrected for the time before the first one.
+/// Estimates the rate of recent events from a decaying count, corrected for a short time of observation.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RateEstimator {
     since: Micros,
@@ -11,12 +11,12 @@
 }
 
 impl RateEstimator {
-    /// An estimator that has observed since a time and has this decayed count now.
+    /// Creates an estimator that has observed events from `since` on and has this decayed count at `now`.
     pub(crate) fn of(since: Micros, count: f64, now: Micros) -> RateEstimator {
         RateEstimator { since, events: DecayingCounter::of(count, now) }
     }
 
-    /// How long it has observed, in microseconds.
+    /// Returns the time of observation in microseconds.
     pub(crate) fn age(&self, now: Micros) -> Micros {
         now - self.since
     }
@@ -31,7 +31,7 @@
         self.events.add(now, time_constant);
     }
 
-    /// Events per second. The estimator counts as at least `min_age` (microseconds) old.
+    /// Returns the events per second. The time of observation is taken as at least `min_age` (microseconds).
     pub(crate) fn per_second(&self, now: Micros, time_constant: f64, min_age: f64) -> f64 {
         let age = (self.age(now) as f64).max(min_age);
         self.count(now, time_constant) * SECOND / (time_constant * (1.0 - (-age / time_constant).exp()))
