--- a/src/interface/action.rs
+++ b/src/interface/action.rs
@@ -1,4 +1,4 @@
-//! Actions: what the decision module tells the host to do.
+//! Actions: what the decision module requests from the host.
 
 use super::{EndpointId, MessageId, Micros};
 
@@ -14,7 +14,7 @@
         endpoint: EndpointId,
         /// Timeout of the attempt; 0 means that it times out at [`super::Submission::expires_at`].
         timeout: Micros,
-        /// The call must not be written after this time. This matters if establishing its connection takes long.
+        /// The call must not be written after this time, even if its connection takes long to establish.
         send_before: Micros,
     },
     /// Final reply: the message was not delivered, and submitting it again does no harm.
@@ -29,7 +29,7 @@
         /// The message.
         id: MessageId,
     },
-    /// Cancel an attempt. Its end is still reported by a [`super::AttemptEnded`].
+    /// Cancel an attempt. The end of the attempt is still reported by a [`super::AttemptEnded`].
     Cancel {
         /// The message.
         id: MessageId,
@@ -41,14 +41,14 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Pass [`super::Event::Wake`] to the module at this time or soon after it.
+    /// Pass [`super::Event::Wake`] to the decision module at the given time, or soon after it.
     Wake {
         /// The time of the wake-up.
         at: Micros,
     },
     /// Subscribe to changes of the endpoint list.
     Subscribe,
-    /// Whether the readiness check succeeds and connections of clients are kept alive. Clients that connect while
-    /// this is false are still served.
+    /// Whether the readiness check succeeds and connections of clients are kept alive. If false, clients that
+    /// connect are still served.
     AcceptClients(bool),
 }
--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -13,7 +13,7 @@
     /// The response says that the message was rejected without execution.
     #[serde(rename = "Full")]
     Rejected {
-        /// No further call may be sent for this long, if the destination said so.
+        /// The Retry-After of the destination, if it sent one: no further call may be sent for this long.
         #[serde(rename = "wait")]
         retry_after: Option<Micros>,
     },
@@ -23,12 +23,13 @@
     ConnectFailed,
     /// The connection broke; the message may have been executed.
     Reset,
-    /// The response cannot be parsed; the message may have been executed. It does not count against the health of the
-    /// destination, which has responded: the response was damaged on its way.
+    /// The response cannot be parsed; the message may have been executed. This does not count against the
+    /// health of the destination, which has responded: the response was damaged in transit.
     #[serde(rename = "Spoilt")]
     InvalidResponse,
-    /// The reused connection broke as soon as the call was written to it; the message may have been executed. It does
-    /// not count against the health of the destination: the connection had probably been closed while it was idle.
+    /// The reused connection broke as soon as the call was written to it; the message may have been executed.
+    /// This does not count against the health of the destination: the connection had probably been closed
+    /// while it was idle.
     #[serde(rename = "Dead")]
     StaleConnection,
     /// Cancelled by the sender; the message may have been executed.
@@ -58,17 +59,18 @@
     pub id: MessageId,
     /// Number of the attempt.
     pub attempt: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time since it was sent, in microseconds.
+    /// Time since the attempt was sent, in microseconds.
     pub elapsed: Micros,
     /// The message is complete: it needs no further attempt and no final reply.
     pub finished: bool,
     /// What the destination reported about its rate limit.
     pub report: Option<LoadReport>,
-    /// Nothing was written to the endpoint: the attempt does not count towards [`super::Settings::max_attempts`].
+    /// Nothing was written to the endpoint: the attempt does not count towards
+    /// [`super::Settings::max_attempts`].
     pub unsent: bool,
-    /// No further call may be sent for this long, if the destination said so beside an outcome other than
-    /// [`Outcome::Rejected`], which carries its own wait.
+    /// The Retry-After that the destination sent with an outcome other than [`Outcome::Rejected`], which
+    /// carries a Retry-After of its own: no further call may be sent for this long.
     pub retry_after: Option<Micros>,
 }
--- a/src/interface/event.rs
+++ b/src/interface/event.rs
@@ -1,17 +1,17 @@
-//! Events: what the host tells the decision module.
+//! Events: what the host reports to the decision module.
 
 use super::{AttemptEnded, EndpointEntry, EndpointId, InheritedCall, LearnedState, MessageId, Submission};
 
 /// Something that happened at the host.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// A message was submitted. It needs exactly one final reply: [`super::Action::Reject`],
+    /// A message was submitted. The message needs exactly one final reply: [`super::Action::Reject`],
     /// [`super::Action::Fail`], or the end of an attempt that completes it.
     Submit(Submission),
     /// An attempt ended.
     AttemptEnded(AttemptEnded),
-    /// A streamed response has begun. The client is receiving it, so that the message is not rejected any more when
-    /// it expires.
+    /// A streamed response has begun. The client is receiving it, so the message is not rejected any more
+    /// when it expires.
     ResponseStarted {
         /// The message.
         id: MessageId,
@@ -25,12 +25,13 @@
     ListSnapshot(Vec<EndpointEntry>),
     /// Changed entries of the endpoint list.
     ListUpdate(Vec<EndpointEntry>),
-    /// Operators disabled an endpoint: whatever the list says, no new call is sent to it until the ban ends.
+    /// Operators disabled an endpoint: no new call is sent to it until the ban ends, whatever its state in
+    /// the list.
     BanStarted {
         /// The endpoint, which need not be listed.
         endpoint: EndpointId,
     },
-    /// Operators enabled an endpoint again. It may have been restarted.
+    /// Operators enabled an endpoint again. The endpoint may have been restarted.
     BanEnded {
         /// The endpoint.
         endpoint: EndpointId,
@@ -39,23 +40,24 @@
     Learned(LearnedState),
     /// An attempt of a predecessor is still in flight, although its message is complete.
     InheritedAttempt {
-        /// A number that no message has.
+        /// An id that no message has.
         id: MessageId,
         /// Number of the attempt.
         attempt: usize,
-        /// The call that it travels in.
+        /// The call that the attempt travels in.
         call: InheritedCall,
     },
     /// Operators drain this process: the readiness check fails, and accepted messages are still delivered.
     Drain,
     /// Operators end the drain.
     Resume,
-    /// A subscription to the endpoint list failed; the last list stays in force.
+    /// A subscription to the endpoint list failed; the last list remains in use.
     WatchFailed,
-    /// The endpoint list in use is too old: until [`Event::ListFresh`] no attempt is started. Messages are held
-    /// meanwhile; deadlines, final answers and the ends of attempts are handled as usual.
+    /// The endpoint list in use is too old: no attempt is started until [`Event::ListFresh`]. Messages remain
+    /// queued; deadlines, final replies and the ends of attempts are handled as usual.
     ListStale,
-    /// The endpoint list in use is recent enough again. Without an earlier [`Event::ListStale`] it changes nothing.
+    /// The endpoint list in use is recent enough again. This event has no effect without an earlier
+    /// [`Event::ListStale`].
     ListFresh,
     /// A wake-up requested with [`super::Action::Wake`] is due.
     Wake,
