--- a/src/interface/message.rs
+++ b/src/interface/message.rs
@@ -5,27 +5,28 @@
 /// A message submitted by a client, or one that a predecessor of this process had accepted.
 #[derive(Clone, Debug)]
 pub struct Submission {
-    /// The message.
+    /// Id of the message.
     pub id: MessageId,
-    /// Index of its class.
+    /// Index of the class of the message.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant of the message.
     pub tenant: Option<usize>,
-    /// Ordering key: messages of an ordered class that share it are sent one at a time, see
+    /// Ordering key: messages of an ordered class that share a key are sent one at a time, see
     /// [`super::Class::ordered`].
     pub key: Option<String>,
     /// The message expires at this time, and its client stops waiting.
     pub expires_at: Micros,
     /// The destination.
     pub destination: DestinationId,
-    /// What happened to it in earlier processes; the default for a new message.
+    /// What happened to the message in earlier processes; the default for a new message.
     pub history: MessageHistory,
 }
 
 /// What happened to a message before this process took it over from a predecessor.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageHistory {
-    /// It was accepted: it is not shed, and if it has no attempt yet, it is attempted before other messages.
+    /// The message was accepted: it is not shed, and if it has no attempt yet, it is attempted before other
+    /// messages.
     pub accepted: bool,
     /// The number of attempts that were made, which is also the number of the next attempt.
     pub attempts: usize,
@@ -38,9 +39,9 @@
 /// An attempt that may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PossibleExecution {
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// Index of the zone of its endpoint.
+    /// Index of the zone of the endpoint that was called.
     pub zone: usize,
 }
 
@@ -52,6 +53,6 @@
     pub call: u64,
     /// The endpoint that was called.
     pub endpoint: EndpointId,
-    /// When it was sent.
+    /// When the call was sent.
     pub sent_at: Micros,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,4 +1,4 @@
-//! The configuration of a sender, which holds for its lifetime. Times are in microseconds.
+//! The configuration of a sender, which does not change during its lifetime. Times are in microseconds.
 
 use super::Micros;
 
@@ -7,8 +7,8 @@
 pub enum Idempotency {
     /// A repeated execution does no harm.
     Idempotent,
-    /// Messages carry an idempotency key. The destination drops repeats for `key_lifetime`, counted from the
-    /// first attempt that may have been executed.
+    /// Messages carry an idempotency key. The destination does not execute a message again for
+    /// `key_lifetime`, counted from the first attempt that may have been executed.
     Keyed {
         /// How long the destination remembers a key.
         key_lifetime: Micros,
@@ -23,10 +23,10 @@
 /// A class of messages.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Whether its messages may be attempted again.
+    /// Whether messages may be attempted again after an attempt that may have been executed.
     pub idempotency: Idempotency,
-    /// A message that is delivered within this time after its submission has its full weight; 0 if the class has no
-    /// objective.
+    /// A message that is delivered within this time after its submission has its full weight; 0 if the class
+    /// has no objective.
     pub latency_objective: Micros,
     /// A message may be delivered until this time after its submission.
     pub deadline: Micros,
@@ -50,8 +50,8 @@
 /// A tenant, which clients submit messages for.
 #[derive(Clone, Copy, Debug)]
 pub struct Tenant {
-    /// Messages per second, of all senders together, that have their full weight. The weight of those beyond is
-    /// multiplied by [`Settings::over_quota_weight`].
+    /// Messages per second, of all senders together, that have their full weight. The weight of further
+    /// messages is multiplied by [`Settings::over_quota_weight`].
     pub quota: f64,
 }
 
@@ -71,8 +71,8 @@
     Off,
     /// Calls per second that the destination accepts from all senders together.
     Nominal,
-    /// Estimated calls per second that the destination accepts from all senders together. The estimate may be wrong
-    /// by up to one half in either direction.
+    /// Estimated calls per second that the destination accepts from all senders together. The estimate may be
+    /// wrong by up to one half in either direction.
     Approximate,
 }
 
@@ -101,16 +101,16 @@
     pub max_attempts: usize,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Whether rejections tell clients how long to wait before they submit the message again.
+    /// Whether rejections carry a Retry-After for clients.
     pub retry_after: bool,
-    /// The longest wait in a rejection that clients respect.
+    /// The longest Retry-After in a rejection that clients honor.
     pub max_retry_after: Micros,
     /// Whether this sender polls discovery. Otherwise updates are pushed to it.
     pub poll_discovery: bool,
-    /// How old the endpoint list of a sender that polls discovery may become: the sender must know every change that
-    /// was older than this at its last poll.
+    /// Maximum age of the endpoint list of a sender that polls discovery: the sender must know every change
+    /// that was older than this at its last poll.
     pub max_list_age: Micros,
-    /// How long after its drain must be known an endpoint may still get new calls.
+    /// How long an endpoint may still get new calls after the time by which its drain must be known.
     pub drain_grace: Micros,
     /// The meaning of the weights in the endpoint list.
     pub endpoint_weights: EndpointWeights,
@@ -120,17 +120,19 @@
     pub connect_timeout: Micros,
     /// The shortest time between two turns of the host.
     pub min_turn_interval: Micros,
-    /// A destination that is warming up fails again if its load exceeds its reduced capacity by this factor for as
-    /// long as `overload_window`.
+    /// A destination that is warming up fails again if its load exceeds its reduced capacity by this factor
+    /// for as long as `overload_window`.
     pub overload_factor: f64,
-    /// A destination that is warming up fails again once its load has exceeded `overload_factor` times its reduced
-    /// capacity for this time without a break.
+    /// A destination that is warming up fails again once its load has exceeded `overload_factor` times its
+    /// reduced capacity for this time without a break.
     pub overload_window: Micros,
-    /// The reduced capacity of a destination right after an outage, as a fraction of its full capacity from 0 to 1.
+    /// The reduced capacity of a destination right after an outage, as a fraction of its full capacity from 0
+    /// to 1.
     pub initial_capacity: f64,
     /// Time from the end of an outage until the destination has its full capacity again.
     pub warm_up_time: Micros,
-    /// How long the other messages of an ordering key wait after the end of an attempt that may still be executed.
+    /// How long the other messages of an ordering key wait after the end of an attempt that may still be
+    /// executed.
     pub ordering_gap: Micros,
 }
 
