--- a/src/interface/backlog.rs
+++ b/src/interface/backlog.rs
@@ -2,8 +2,8 @@
 
 use super::{DestinationId, Micros};
 
-/// What delays the messages of a destination. Where its routes are separate, the values of one route are those of the
-/// one that is ready first.
+/// What delays the messages of a destination. If its routes are separate, `outage` and the fields after it
+/// are those of the route that is ready first.
 #[derive(Clone, Copy, Debug)]
 pub struct DestinationBacklog {
     /// The destination.
@@ -14,7 +14,7 @@
     pub endpoints: usize,
     /// Calls in flight.
     pub calls: usize,
-    /// A large fraction of the recent attempts failed, so that the destination may occupy fewer call slots.
+    /// The destination is unhealthy or slow, so that it may occupy fewer call slots.
     pub degraded: bool,
     /// The destination is considered down, so that only probe calls are sent.
     pub outage: bool,
@@ -22,6 +22,6 @@
     pub rate: Option<f64>,
     /// Time until the next call may be sent; 0 if it may be sent now.
     pub ready_in: Micros,
-    /// Time until the end of the wait that the destination asked for; 0 if there is none.
+    /// Time until the end of the Retry-After or of the backoff; 0 if there is none.
     pub retry_after: Micros,
 }
--- a/src/interface/endpoint_list.rs
+++ b/src/interface/endpoint_list.rs
@@ -7,7 +7,7 @@
 pub enum EndpointState {
     /// In service, whatever its health.
     Serving,
-    /// No new call may be sent to it.
+    /// No new call may be sent to the endpoint.
     Draining,
     /// Removed from the list.
     Deleted,
@@ -18,14 +18,14 @@
 pub struct EndpointEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Index of its zone.
+    /// Index of the zone of the endpoint.
     pub zone: usize,
-    /// Index of the kind of its destination.
+    /// Index of the kind of the destination.
     pub kind: usize,
-    /// Whether it is in service.
+    /// Whether the endpoint is in service.
     pub state: EndpointState,
-    /// The weight, with the meaning that [`super::EndpointWeights`] gives to it.
+    /// The weight of the endpoint. [`super::EndpointWeights`] defines what it means.
     pub weight: f64,
 }
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -1,4 +1,4 @@
-//! What a process has learned about its destinations, for the process that takes over from it.
+//! What a process has learned about its destinations, for its successor.
 //!
 //! The two processes may be of different versions, so that the serialized names must not change.
 
@@ -9,7 +9,7 @@
 /// the take-over, in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub enum HealthState {
-    /// Neither down nor warming up.
+    /// The destination or route is neither down nor warming up.
     #[serde(rename = "Well")]
     Healthy,
     /// Considered down: only probe calls are sent.
@@ -36,25 +36,25 @@
     /// The route, where routes are separate.
     #[serde(rename = "target")]
     pub endpoint: Option<EndpointId>,
-    /// Time until the end of the wait that the destination asked for.
+    /// Time until the end of the Retry-After or of the backoff.
     #[serde(rename = "wait_for")]
     pub retry_after: Micros,
     /// Time until the next paced call is due.
     #[serde(rename = "due_in")]
     pub next_call_in: Micros,
-    /// Its health.
+    /// Health of the destination or route.
     #[serde(rename = "state")]
     pub health: HealthState,
-    /// Calls per second that it accepted while it was healthy.
+    /// Calls per second that the destination accepted from this sender while it was healthy.
     #[serde(rename = "base")]
     pub healthy_rate: f64,
     /// Time since the sender has known the destination.
     pub age: Micros,
-    /// The number of calls sent to it, exponentially decayed.
+    /// Number of calls sent to the destination, exponentially decayed.
     #[serde(rename = "sent")]
     pub calls_sent: f64,
-    /// Exponentially decayed numbers of successes, of failures, and of failures that may have been executed, in this
-    /// order.
+    /// Exponentially decayed numbers of successes, of failures, and of failures that may have been executed,
+    /// in this order.
     #[serde(rename = "health")]
     pub outcome_counts: [f64; 3],
     /// Long-term average latency of deliveries, in microseconds; 0 if unknown.
@@ -63,10 +63,10 @@
     /// Short-term average latency of deliveries, in microseconds; 0 if unknown.
     #[serde(rename = "pace")]
     pub recent_latency: f64,
-    /// Calls per second allowed to this sender, if they are limited.
+    /// Calls per second allowed to this sender; `None` if they are not limited.
     #[serde(rename = "limit")]
     pub rate_limit: Option<f64>,
-    /// Calls per second that the destination reported to allow for all senders.
+    /// Calls per second that the destination allows all senders together, if it reported a limit.
     #[serde(rename = "ceiling")]
     pub reported_limit: Option<f64>,
 }
--- a/src/interface/mod.rs
+++ b/src/interface/mod.rs
@@ -1,18 +1,18 @@
-//! The vocabulary of the decision module: settings, events and actions.
+//! The interface of the decision module: settings, events and actions.
 //!
 //! No decision is made here. A *host* (the forwarder or the simulator adapter) reports what happens as
 //! [`Event`]s and carries out the [`Action`]s that [`crate::Balancer`] returns.
 //!
 //! A *sender* is one process with one decision module; several senders form a fleet. Clients submit
-//! *messages* to it for *destinations*, and each destination has one or more *endpoints*. A message is
-//! delivered by *attempts*; attempts that start together travel in one *call* to one endpoint. A *route* is what
-//! has a rate limit, a health and outages of its own: normally a destination with all its endpoints, or each endpoint
-//! separately (see [`DestinationKind::separate_routes`]).
+//! *messages* to a sender for *destinations*, and each destination has one or more *endpoints*. A message is
+//! delivered by *attempts*; attempts that start together travel in one *call* to one endpoint. A *route* has
+//! a rate limit, a health and outages of its own: it is normally a destination with all its endpoints, or
+//! each endpoint separately (see [`DestinationKind::separate_routes`]).
 //!
 //! The host works in *turns*: it passes on the events that have happened, and ends the turn with
 //! [`Event::TurnEnd`].
 //!
-//! Time is counted in whole microseconds on a clock of the host. The clock may start at any time: only
+//! Time is counted in whole microseconds on a clock of the host. The clock may start at any value: only
 //! differences between times are used.
 
 mod action;
