--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -1,13 +1,13 @@
-//! Admission of messages, load shedding, and final answers other than deliveries.
+//! Admission of messages, load shedding, and final replies to messages that were not delivered.
 
 use super::{Balancer, Parameters};
 use crate::estimators::SECOND;
 use crate::interface::{Action, Idempotency, MessageId, Micros, Submission, Tenant};
 use crate::sender_state::{Message, MessageState};
 
-/// Messages are shed once fewer than this part of `max_open_messages` (as a divisor) is left.
+/// Load shedding starts when fewer than `max_open_messages` divided by this can still be opened.
 const SHEDDING_RESERVE_DIVISOR: usize = 32;
-/// Cost of rejecting a new message relative to that of rejecting one that was accepted earlier.
+/// Cost of rejecting a new message relative to that of rejecting a message that was accepted earlier.
 const NEW_MESSAGE_COST: f64 = 0.7;
 
 impl Balancer {
@@ -16,7 +16,7 @@
         if self.state.messages.get(id).is_some() {
             return;
         }
-        if let Some(retry_after) = self.reject_at_once(&submission) {
+        if let Some(retry_after) = self.immediate_rejection(&submission) {
             return actions.push(Action::Reject { id, retry_after });
         }
         let message = self.new_message(now, submission);
@@ -26,7 +26,7 @@
             return;
         }
         if self.has_no_attempt_left(&self.state.messages[id]) {
-            return self.reject(now, id, actions);
+            return self.reject_or_fail(now, id, actions);
         }
         let ordering_key = self.state.enqueue_in_order(now, id);
         self.release_next(now, ordering_key.as_deref());
@@ -36,9 +36,10 @@
         }
     }
 
-    /// The Retry-After of a message that is not admitted. Nothing is stored for destinations that were never
-    /// listed: clients may name any number of them.
-    fn reject_at_once(&self, submission: &Submission) -> Option<Micros> {
+    /// Returns the Retry-After of a message that is not admitted: its class is unknown, or it is new and its
+    /// destination was never listed. Clients may name any number of such destinations, so nothing is stored
+    /// for them.
+    fn immediate_rejection(&self, submission: &Submission) -> Option<Micros> {
         let Parameters { settings, .. } = &self.parameters;
         if settings.classes.get(submission.class).is_none() {
             return Some(0);
@@ -50,17 +51,18 @@
 
     fn new_message(&mut self, now: Micros, mut submission: Submission) -> Message {
         let class = &self.parameters.settings.classes[submission.class];
-        // A client that waits for less than the objective is served on time until it leaves.
+        // If the message expires before the latency objective, any delivery before its expiry is on time.
         let beyond_objective = class.deadline - class.latency_objective;
         let patient = submission.expires_at - now > class.latency_objective;
         let due = submission.expires_at - if patient { beyond_objective } else { 0 };
         submission.key = submission.key.filter(|_| class.ordered);
-        let over_quota = submission.tenant.is_some_and(|tenant| self.is_over_quota(now, tenant));
+        let over_quota = submission.tenant.is_some_and(|tenant| self.count_against_quota(now, tenant));
         Message::new(submission, over_quota, due, now)
     }
 
-    /// Counts a message of a tenant. Returns true if the tenant is over this sender's share of its quota.
-    fn is_over_quota(&mut self, now: Micros, tenant: usize) -> bool {
+    /// Counts a message against the quota of its tenant. Returns true if the tenant is over this sender's
+    /// share of the quota.
+    fn count_against_quota(&mut self, now: Micros, tenant: usize) -> bool {
         let Parameters { settings, warm_up, share, .. } = &self.parameters;
         let Some(Tenant { quota }) = settings.tenants.get(tenant) else { return false };
         let submitted = &mut self.state.tenant_submissions[tenant];
@@ -68,8 +70,9 @@
         submitted.get(now, *warm_up) * SECOND / warm_up > quota * share
     }
 
-    /// Near the bound on open messages, rejects the one with the least value left. Of the messages in a
-    /// queue, the new one is rejected if it is there, otherwise the first.
+    /// Rejects one queued message to make room: the one with the least remaining value, divided by the length
+    /// of its queue. The candidate of a queue is the new message if the queue holds it, otherwise its first
+    /// message.
     fn shed_load(&mut self, now: Micros, new: MessageId, actions: &mut Vec<Action>) {
         let costs = self.state.messages.queues().all().filter_map(|queue| {
             let (_, first) = *queue.first()?;
@@ -78,12 +81,12 @@
             Some((self.value(&self.state.messages[id], now) * cost / queue.len() as f64, id))
         });
         if let Some((_, id)) = costs.min_by(|a, b| a.0.total_cmp(&b.0)) {
-            self.reject(now, id, actions);
+            self.reject_or_fail(now, id, actions);
         }
     }
 
-    /// Gives the final answer: a rejection if submitting the message again does no harm, otherwise a failure.
-    pub(super) fn reject(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) {
+    /// Gives the final reply: a rejection if submitting the message again does no harm, otherwise a failure.
+    pub(super) fn reject_or_fail(&mut self, now: Micros, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.state.messages.get(id) else { return };
         let (class, destination) = (message.submission.class, message.submission.destination);
         self.state.class_results[class].record_loss(now, self.parameters.warm_up);
@@ -97,6 +100,6 @@
             let wait = known.map_or(0, |known| known.route.limiter.wait_until - now);
             actions.push(Action::Reject { id, retry_after: wait.clamp(0, settings.max_retry_after) });
         }
-        self.forget(now, id);
+        self.close_message(now, id);
     }
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of the forwarder: which message is sent when and where, and which is rejected.
 //!
-//! [`Balancer`] takes events and returns actions; both are defined in [`crate::interface`]. Its records are
-//! kept in [`crate::sender_state`]. In the order of a message's life its rules are in `admission`,
-//! `concurrency`, `endpoint_choice`, `selection`, `sending`, `outcome` and `timers`. What is learned about
-//! destinations is in `route`, with `health`, `circuit_breaker` and `rate_limiter`.
+//! [`Balancer`] takes events and returns actions; both are defined in [`crate::interface`]. The state is kept
+//! in [`crate::sender_state`]. The rules for messages are, in the order in which a message meets them, in
+//! `admission`, `concurrency`, `endpoint_choice`, `selection`, `sending`, `outcome` and `timers`. What is
+//! learned about destinations is in `route`, with `health`, `circuit_breaker` and `rate_limiter`.
 
 mod admission;
 mod backlog_report;
@@ -27,26 +27,26 @@
 use crate::sender_state::SenderState;
 use parameters::Parameters;
 
-/// The decisions of one sender.
+/// Makes the decisions of one sender.
 pub struct Balancer {
     parameters: Parameters,
     state: SenderState,
 }
 
 impl Balancer {
-    /// A sender that knows nothing but its settings. The same seed yields the same random numbers.
+    /// Creates a balancer without messages or endpoints. The same seed yields the same random numbers.
     pub fn new(settings: Settings, seed: u64) -> Self {
         Balancer { state: SenderState::new(&settings, seed), parameters: Parameters::new(settings) }
     }
 
-    /// Takes in one event and adds what is to be done to `actions`.
+    /// Processes one event and appends the resulting actions to `actions`.
     pub fn on_event(&mut self, now: Micros, event: Event, actions: &mut Vec<Action>) {
         let state = &mut self.state;
         match event {
             Event::Submit(submission) => self.submit(now, submission, actions),
             Event::AttemptEnded(end) => self.end_attempt(now, &end, actions),
             Event::ResponseStarted { id } => state.messages.set_response_started(id),
-            Event::ClientDisconnected { id } => self.forget(now, id),
+            Event::ClientDisconnected { id } => self.close_message(now, id),
             Event::ListSnapshot(entries) => {
                 state.directory.remove_all(now);
                 self.update_list(now, &entries);
@@ -55,7 +55,7 @@
             Event::BanStarted { endpoint } => self.start_ban(now, endpoint),
             Event::BanEnded { endpoint } => self.end_ban(now, endpoint),
             Event::Learned(learned) => state.directory.import(now, &learned),
-            // Its message is complete, so the class no longer matters; the call still takes its slot.
+            // The message is complete, so its class no longer matters; the call still takes a call slot.
             Event::InheritedAttempt { id, attempt, call } => {
                 state.inherit_attempt(id, attempt, 0, call);
             }
@@ -69,7 +69,7 @@
         }
     }
 
-    /// What is known about each destination, or about each route where routes are separate.
+    /// Returns what is known about each destination, or about each route where routes are separate.
     pub fn learned(&self, now: Micros) -> Vec<LearnedState> {
         self.state.directory.export(now, self.parameters.warm_up, self.parameters.outcome_decay)
     }
