--- a/src/decision/cancellation.rs
+++ b/src/decision/cancellation.rs
@@ -1,47 +1,53 @@
-//! Cancellation of calls that hold a slot although no response can be expected any more.
+//! Cancellation of calls that hold a call slot although no response can be expected any more.
 
 use super::{Balancer, concurrency::SendOptions};
 use crate::interface::{Action, Micros};
 use crate::sender_state::Attempt;
 use std::collections::BTreeSet;
 
-/// Where call slots are short, overdue calls may keep the call slots divided by this.
+/// When no call slot is free, overdue calls may keep the number of call slots divided by this.
 const OVERDUE_SLOTS_DIVISOR: usize = 8;
 
-/// A call in flight for longer than is expected. Calls that are cancelled first come first.
+/// A call in flight for longer than expected. The calls to cancel first are ordered first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct OverdueCall {
-    /// It carries a message that is lost by the cancellation.
+    /// The call carries a message that must not be executed twice: cancellation loses the message.
     at_most_once: bool,
     sent_at: Micros,
     call: u64,
 }
 
 impl Balancer {
-    /// Cancels calls whose response is lost: they are overdue, and calls sent much later have been delivered.
-    /// A destination without recent deliveries loses its oldest overdue call, so that a probe can be sent. As
-    /// cancellation may lose messages, calls are cancelled only where messages wait for them to end.
-    pub(super) fn cancel_lost_calls(&mut self, now: Micros, unsent: &SendOptions, actions: &mut Vec<Action>) {
-        let ready = unsent.iter().filter(|(_, option)| option.candidate.is_ok()).map(|(id, _)| *id);
-        let mut without_probe: BTreeSet<_> = ready.collect();
-        without_probe.retain(|id| !self.state.calls.is_cancelling(*id));
+    /// Cancels calls whose response is lost: they are overdue, and the endpoint has delivered calls that were
+    /// sent much later. For a destination without recent deliveries, one overdue call is cancelled so that a
+    /// probe can be sent. Cancellation may lose messages, so only calls to the `blocked` destinations are
+    /// cancelled, where messages wait for calls to end.
+    pub(super) fn cancel_lost_calls(
+        &mut self,
+        now: Micros,
+        blocked: &SendOptions,
+        actions: &mut Vec<Action>,
+    ) {
+        let ready = blocked.iter().filter(|(_, option)| option.candidate.is_ok()).map(|(id, _)| *id);
+        let mut awaiting_probe: BTreeSet<_> = ready.collect();
+        awaiting_probe.retain(|id| !self.state.calls.is_cancelling(*id));
         let mut cancelled_for_probe = BTreeSet::new();
         self.state.calls.cancel_where(actions, |attempt| {
             let route = self.state.directory.route(attempt.route);
             let lost_age = route.latency.lost_age(&self.parameters)
                 + self.parameters.cancellation_reserve(self.parameters.at_most_once(attempt.class));
             let endpoint = &self.state.directory.endpoints[&attempt.route.endpoint];
-            attempt.lost = unsent.contains_key(&attempt.route.destination)
+            attempt.lost = blocked.contains_key(&attempt.route.destination)
                 && attempt.sent_at.saturating_add(lost_age) < endpoint.last_delivered_call_sent_at;
             let no_delivery_since = now - attempt.sent_at.max(route.last_delivery) > lost_age;
-            if no_delivery_since && without_probe.remove(&attempt.route.destination) {
+            if no_delivery_since && awaiting_probe.remove(&attempt.route.destination) {
                 cancelled_for_probe.insert(attempt.call);
             }
             attempt.lost || cancelled_for_probe.contains(&attempt.call)
         });
     }
 
-    /// With every slot taken and messages queued, cancels overdue calls but for a few.
+    /// If no call slot is free and messages are queued, cancels all but a few of the overdue calls.
     pub(super) fn free_overdue_slots(&mut self, now: Micros, actions: &mut Vec<Action>) {
         let call_slots = self.parameters.settings.call_slots;
         if self.state.calls.slots_used() < call_slots || self.state.messages.queues().is_empty() {
@@ -54,14 +60,14 @@
         self.state.calls.cancel_where(actions, is_overdue);
     }
 
-    /// The overdue calls, those to be cancelled first at the front.
+    /// Returns the overdue calls, those to cancel first at the front.
     fn overdue_calls(&self, now: Micros) -> Vec<OverdueCall> {
         let mut overdue = Vec::new();
         for (call, attempts) in self.state.calls.active_by_call() {
             let at_most_once = attempts.iter().any(|attempt| self.parameters.at_most_once(attempt.class));
             let first = attempts[0];
             let latency = &self.state.directory.route(first.route).latency;
-            let overdue_age = latency.overdue_age_with_short_slots(&self.parameters)
+            let overdue_age = latency.overdue_age_with_scarce_slots(&self.parameters)
                 + self.parameters.cancellation_reserve(at_most_once);
             if now - first.sent_at > overdue_age {
                 overdue.push(OverdueCall { at_most_once, sent_at: first.sent_at, call });
