--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -5,17 +5,18 @@
 use crate::interface::Micros;
 use crate::sender_state::{BreakerState, Route};
 
-/// Bounds on the time between two probes, as parts of the latency objective and of the warm-up time.
+/// The least interval between two probes is the latency objective divided by this.
 const MIN_PROBE_INTERVAL_OBJECTIVE_DIVISOR: f64 = 16.0;
+/// The longest interval between two probes is the warm-up time divided by this and by the sender's share.
 const MAX_PROBE_INTERVAL_WARM_UP_DIVISOR: f64 = 4.0;
 
-/// The longest time between two probes, before it is varied at random.
+/// The longest interval between two probes in microseconds, before jitter.
 pub(super) fn longest_probe_interval(parameters: &Parameters) -> f64 {
     parameters.warm_up / MAX_PROBE_INTERVAL_WARM_UP_DIVISOR / parameters.share
 }
 
 impl Route {
-    /// Starts an outage, unless there is one.
+    /// Opens the breaker, unless it is open already.
     pub(super) fn open_breaker(&mut self, now: Micros, parameters: &Parameters) {
         self.record_healthy_rate(now, parameters);
         if !self.breaker.is_open() {
@@ -23,7 +24,8 @@
         }
     }
 
-    /// Remembers the rate of healthy times, by which the rates of probes and of the warm-up are set.
+    /// Records the rate of calls while the breaker is closed. The rates of probes and of the warm-up are
+    /// derived from it.
     pub(super) fn record_healthy_rate(&mut self, now: Micros, parameters: &Parameters) {
         if self.breaker.state == BreakerState::Closed {
             let share = self.own_share(parameters) / UNEVEN_SHARE_FACTOR;
@@ -32,8 +34,8 @@
         }
     }
 
-    /// Calls per second that the destination has accepted from this sender, as far as it can know: retries
-    /// in the first moments of a sender that starts during an outage are no rate.
+    /// Calls per second that the destination has accepted from this sender; 0 before the first delivery,
+    /// because the retries of a sender that starts during an outage say nothing about an accepted rate.
     fn accepted_rate(&self, now: Micros, parameters: &Parameters) -> f64 {
         if self.latency.usual.get() == 0.0 {
             return 0.0;
@@ -41,24 +43,25 @@
         self.calls.per_second(now, parameters.warm_up, parameters.warm_up)
     }
 
-    /// Keeps the breaker open until the next probe. Probes stay within the capacity right after an outage.
+    /// Opens the breaker, or keeps it open, until the next probe. The rate of probes stays within the reduced
+    /// capacity right after an outage.
     pub(super) fn schedule_probe(&mut self, now: Micros, parameters: &Parameters) {
         let settings = &parameters.settings;
         let rate = settings.overload_factor * settings.initial_capacity * self.breaker.healthy_rate;
         let shortest = parameters.latency_objective / MIN_PROBE_INTERVAL_OBJECTIVE_DIVISOR;
         let longest = longest_probe_interval(parameters);
         let interval = (SECOND / rate.max(parameters.rate_floor)).clamp(shortest, longest);
-        // Many senders learn of an outage, or of its end, together: their probes are placed at random.
+        // Many senders detect an outage, or its end, at the same time: their probes are spread at random.
         let offset = if self.breaker.is_open() { 0.5 } else { 0.0 };
         let fraction = if parameters.has_many_senders() { offset + random_unit(&mut self.seed) } else { 1.0 };
         let next_probe = now.max(self.limiter.wait_until) + (interval * fraction) as Micros;
         self.breaker.state = BreakerState::Open { next_probe };
     }
 
-    /// Delays a call that has been due for some time to a destination that is down or warming up. Many
-    /// senders whose calls were held together would otherwise send them all at once, beyond its reduced
+    /// Moves a call that became due while sending was suspended to a random time, if the destination is down
+    /// or warming up. Many senders that resume together would otherwise all call at once, beyond its reduced
     /// capacity.
-    pub(super) fn spread_overdue_call(&mut self, now: Micros, parameters: &Parameters) {
+    pub(super) fn reschedule_due_call(&mut self, now: Micros, parameters: &Parameters) {
         if !parameters.has_many_senders() || self.ready_at() >= now {
             return;
         }
@@ -69,7 +72,8 @@
         }
     }
 
-    /// A delivery ends an outage, and closes the breaker once the warm-up time has passed.
+    /// Updates the breaker after a delivery: an outage ends and the warm-up starts, or the breaker closes if
+    /// the warm-up time has passed.
     pub(super) fn recover(&mut self, now: Micros, parameters: &Parameters) {
         match self.breaker.state {
             BreakerState::Open { .. } => {
@@ -83,9 +87,9 @@
         }
     }
 
-    /// Starts the warm-up, with a call at once if the sender is one of few. Many senders recover together,
-    /// for example when hanging calls are answered, and a call of each at once would exceed the reduced
-    /// capacity.
+    /// Starts the warm-up, with an immediate call if the sender is one of few. Many senders detect a recovery
+    /// together, for example when hanging calls are answered, and an immediate call from each would exceed
+    /// the reduced capacity.
     pub(super) fn start_warm_up(&mut self, now: Micros, parameters: &Parameters) {
         self.breaker.state = BreakerState::WarmingUp { since: now };
         self.limiter.next_call_at = now;
@@ -94,14 +98,14 @@
         }
     }
 
-    /// Puts the next call of the warm-up at a random time within one interval.
+    /// Moves the next call of the warm-up to a random time within one call interval.
     fn delay_warm_up_call(&mut self, now: Micros, parameters: &Parameters) {
         if let Some(rate) = self.allowed_rate(now, parameters) {
             self.limiter.next_call_at = now + (random_unit(&mut self.seed) * SECOND / rate) as Micros;
         }
     }
 
-    /// Calls per second that are sent to a destination while it warms up; `None` in the other states.
+    /// Calls per second that are allowed while the destination warms up; `None` in the other states.
     pub(super) fn warm_up_rate(&self, now: Micros, parameters: &Parameters) -> Option<f64> {
         let BreakerState::WarmingUp { since } = self.breaker.state else { return None };
         let settings = &parameters.settings;
