--- a/src/decision/concurrency.rs
+++ b/src/decision/concurrency.rs
@@ -4,21 +4,22 @@
 use crate::interface::{Action, DestinationId, Micros};
 use std::collections::BTreeMap;
 
-/// Quarters of the call slots that a healthy destination may hold.
+/// Cap on the calls in flight to a healthy destination, in quarters of the call slots.
 const HEALTHY_CAP_QUARTERS: usize = 3;
-/// Quarters of the call slots that a degraded destination may hold, and all degraded destinations together.
+/// Cap on the calls in flight to a degraded destination, and to all of these together, in quarters of the
+/// call slots.
 const DEGRADED_CAP_QUARTERS: usize = 2;
-/// Overdue calls from which a destination counts as hanging.
+/// A route with at least this many overdue calls is considered hanging.
 const HANGING_CALLS: usize = 2;
 
-/// What could be sent to a destination in this turn.
+/// The best call that could be sent to a destination in this turn.
 pub(super) struct SendOption {
     degraded: bool,
-    /// The best call, or the time at which to look again.
+    /// The best call, or the time at which to check again if no call can be sent now.
     pub candidate: Result<Candidate, Micros>,
 }
 
-/// What could be sent to each destination with queued messages.
+/// The send option of each destination with queued messages.
 pub(super) type SendOptions = BTreeMap<DestinationId, SendOption>;
 
 /// The selection of calls in one turn.
@@ -26,27 +27,28 @@
     options: SendOptions,
     /// Calls in flight to degraded destinations.
     degraded_calls: usize,
-    /// When the first of the destinations that are not ready should be looked at again.
-    look_again_at: Micros,
+    /// The earliest time at which a destination that is not ready should be checked again.
+    recheck_at: Micros,
 }
 
 impl Selection {
-    /// Nothing may be sent.
-    fn none() -> Self {
-        Selection { options: SendOptions::new(), degraded_calls: 0, look_again_at: Micros::MAX }
+    /// A selection without any option to send.
+    fn empty() -> Self {
+        Selection { options: SendOptions::new(), degraded_calls: 0, recheck_at: Micros::MAX }
     }
 }
 
 impl Balancer {
-    /// The end of a turn: sends calls, and then cancels calls that others wait for.
+    /// Ends a turn: runs due timers, sends calls, and then cancels calls that hold slots others wait for.
     pub(super) fn end_turn(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.run_timers(now, actions);
         self.detect_hangs(now);
-        let selection = if self.state.list_stale { Selection::none() } else { self.send_calls(now, actions) };
-        let wake = self.state.next_wake(now, selection.look_again_at);
-        // While the list is stale, no message waits for a call to end.
+        let selection =
+            if self.state.list_stale { Selection::empty() } else { self.send_calls(now, actions) };
+        let wake = self.state.next_wake(now, selection.recheck_at);
+        // While the list is stale, no call may be sent, so no message waits for a call to end.
         if self.parameters.settings.cancellation && !self.state.list_stale {
-            self.cancel_lost_calls(now, &self.held_back(selection), actions);
+            self.cancel_lost_calls(now, &self.blocked_by_calls(selection), actions);
             self.free_overdue_slots(now, actions);
         }
         self.close_idle_connections(now, actions);
@@ -54,7 +56,8 @@
         actions.extend(wake.map(|at| Action::Wake { at }));
     }
 
-    /// A destination that hangs sends no responses: it is recognized by the age of the calls in flight.
+    /// Opens the breakers of hanging routes. A hanging destination sends no responses, so it is detected by
+    /// the age of its calls in flight.
     fn detect_hangs(&mut self, now: Micros) {
         for destination in self.state.messages.queues().destinations() {
             for route_id in self.state.directory.route_ids(destination) {
@@ -66,19 +69,19 @@
         }
     }
 
-    /// Sends the calls of the highest value while slots are free and destinations are under their caps.
+    /// Sends the calls with the highest value while slots are free and destinations are below their caps.
     fn send_calls(&mut self, now: Micros, actions: &mut Vec<Action>) -> Selection {
         let calls = self.state.calls.by_destination();
         let degraded = calls.filter(|(id, _)| self.is_degraded(*id, now));
         let degraded_calls = degraded.map(|(_, calls)| calls).sum();
         let destinations = self.state.messages.queues().destinations();
         let options = destinations.map(|id| (id, self.send_option(id, now))).collect();
-        let mut selection = Selection { options, degraded_calls, look_again_at: Micros::MAX };
+        let mut selection = Selection { options, degraded_calls, recheck_at: Micros::MAX };
         while self.state.calls.slots_used() < self.parameters.settings.call_slots {
             let Some(best) = self.best_candidate(&mut selection) else { break };
             let destination = best.route.destination;
             self.send(now, best, actions);
-            // A call changes nothing for other destinations: only this one is looked at again.
+            // A call does not change the options of other destinations: only this one is evaluated again.
             let sent = selection.options.remove(&destination);
             selection.degraded_calls += usize::from(sent.is_some_and(|option| option.degraded));
             if self.state.messages.queues().contains(destination) {
@@ -97,10 +100,11 @@
         SendOption { degraded, candidate: self.candidate(destination, now) }
     }
 
-    /// The call of the highest value per slot time, to a destination that is under its cap.
+    /// Returns the call with the highest value per slot time to a destination below its cap, and updates
+    /// `recheck_at`.
     fn best_candidate(&self, selection: &mut Selection) -> Option<Candidate> {
         let mut best: Option<Candidate> = None;
-        selection.look_again_at = Micros::MAX;
+        selection.recheck_at = Micros::MAX;
         let all_degraded_at_cap = selection.degraded_calls >= self.cap(DEGRADED_CAP_QUARTERS);
         for (destination, option) in &selection.options {
             let quarters = if option.degraded { DEGRADED_CAP_QUARTERS } else { HEALTHY_CAP_QUARTERS };
@@ -113,22 +117,23 @@
                     best = Some(candidate);
                 }
                 Ok(_) => {}
-                Err(at) => selection.look_again_at = selection.look_again_at.min(at),
+                Err(at) => selection.recheck_at = selection.recheck_at.min(at),
             }
         }
         best
     }
 
-    /// The options that are left because the slots or a cap are used up by calls in flight.
-    fn held_back(&self, mut selection: Selection) -> SendOptions {
+    /// Returns the options that must wait for calls in flight to end, because no slot is free or a cap is
+    /// reached.
+    fn blocked_by_calls(&self, mut selection: Selection) -> SendOptions {
         let cap = self.cap(DEGRADED_CAP_QUARTERS);
         let no_slot = self.state.calls.slots_used() >= self.parameters.settings.call_slots;
-        let all = no_slot || selection.degraded_calls >= cap;
-        selection.options.retain(|id, _| all || self.state.calls.count(*id) >= cap);
+        let all_blocked = no_slot || selection.degraded_calls >= cap;
+        selection.options.retain(|id, _| all_blocked || self.state.calls.count(*id) >= cap);
         selection.options
     }
 
-    /// A number of quarters of the call slots, at least one slot. Computed so that it cannot overflow.
+    /// Returns a number of quarters of the call slots, at least one slot. The computation cannot overflow.
     fn cap(&self, quarters: usize) -> usize {
         let slots = self.parameters.settings.call_slots;
         (slots / 4 * quarters + slots % 4 * quarters / 4).max(1)
