--- a/src/decision/endpoint_list.rs
+++ b/src/decision/endpoint_list.rs
@@ -5,7 +5,7 @@
 use crate::interface::{EndpointEntry, EndpointId, EndpointWeights, Micros};
 use crate::sender_state::RouteId;
 
-/// Failures of the subscription in a row that still double the backoff.
+/// The backoff doubles with each consecutive failure of the subscription, up to this many.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 
 impl Balancer {
@@ -22,7 +22,8 @@
         }
     }
 
-    /// Subscribes again after a random backoff: many senders may have failed together.
+    /// Schedules another subscription after a random backoff: the subscriptions of many senders may fail
+    /// together.
     pub(super) fn retry_subscription(&mut self, now: Micros) {
         self.state.subscription_failures += 1;
         let doublings = self.state.subscription_failures.min(MAX_BACKOFF_DOUBLINGS);
@@ -31,15 +32,16 @@
         self.state.subscribe_at = Some(now + backoff / 2 + jitter);
     }
 
-    /// Sends no new call to an endpoint until the ban ends, even if the list has it in service.
+    /// Stops new calls to an endpoint until the ban ends, even if it is listed as in service.
     pub(super) fn start_ban(&mut self, now: Micros, id: EndpointId) {
         if let Some(route) = self.state.directory.start_ban(id) {
             route.record_healthy_rate(now, &self.parameters);
         }
     }
 
-    /// Uses an endpoint again. It may have been restarted, so it warms up as after an outage; one that is
-    /// down is probed first. Where others share its limits, they are preferred meanwhile.
+    /// Allows new calls to an endpoint again. The endpoint may have been restarted, so it warms up as after
+    /// an outage, or is probed first if it is down. If other endpoints share its limits, they are preferred
+    /// for the warm-up time instead.
     pub(super) fn end_ban(&mut self, now: Micros, id: EndpointId) {
         let directory = &mut self.state.directory;
         let Some(endpoint) = directory.end_ban(id) else { return };
