--- a/src/decision/rate_limiter.rs
+++ b/src/decision/rate_limiter.rs
@@ -5,25 +5,27 @@
 use crate::interface::Micros;
 use crate::sender_state::Route;
 
-/// Multiplicative decrease of the limit by a rejection.
+/// A wave of rejections multiplies the limit by this.
 const DECREASE_FACTOR: f64 = 0.7;
-/// Additive increase of the limit per second, as a fraction of what the sender may count on.
+/// Additive increase of the limit per second, as a fraction of the sender's own share or, if higher, of the
+/// limit plus `min_rate`.
 const INCREASE_PER_SECOND: f64 = 0.08;
-/// Calls that may be sent without spacing, as a time at the rate of the limit.
+/// Size of a burst without spacing: the calls that the limit allows in this time.
 pub(super) const BURST_SECONDS: f64 = 0.3;
-/// Where many senders share a limit, the longest backoff in intervals of one sender's share of it.
+/// If many senders share a limit, the longest backoff, in call intervals at one sender's share of it.
 const MAX_BACKOFF_INTERVALS: f64 = 4.0;
-/// Waves of rejections in a row that still double the backoff.
+/// The backoff doubles with each consecutive wave of rejections, up to this many.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
-/// This many rejections in a row without a Retry-After are an outage and not a limit.
+/// This many consecutive waves of rejections without a Retry-After indicate an outage and not a limit.
 const OUTAGE_REJECTIONS: u32 = 4;
-/// A reported limit is plausible within this factor of the listed rate.
+/// A reported limit is plausible if it is within this factor of the listed rate.
 const PLAUSIBLE_REPORT_FACTOR: f64 = 10.0;
-/// The rate (calls per second) that is assumed where none is listed, with the square of the factor.
-const UNLISTED_RATE: f64 = 10.0;
+/// The rate that is assumed where none is listed. A report is then plausible within the square of
+/// `PLAUSIBLE_REPORT_FACTOR`.
+const UNLISTED_CALLS_PER_SECOND: f64 = 10.0;
 
 impl Route {
-    /// Starts with a share of the listed rate, if there is one and no limit is known.
+    /// Sets the first limit to a share of the listed rate, if a rate is listed and no limit is known.
     pub(super) fn start_limiter(&mut self, now: Micros, batch: usize, parameters: &Parameters) {
         let listed_rate = self.limiter.listed_rate;
         if listed_rate <= 0.0 || self.limiter.limit.is_some() {
@@ -33,24 +35,25 @@
         let many_senders = parameters.has_many_senders();
         let limit = listed_rate * if many_senders { share.min(parameters.share) } else { share };
         self.limiter.limit = Some(limit);
-        // Many senders start together, after a restart or with a new endpoint: not all may send at once.
+        // Many senders may start together, after a restart or with a new endpoint: their calls are spread.
         if many_senders {
-            let first = random_unit(&mut self.seed) / limit.max(parameters.min_rate);
-            self.limiter.next_call_at = now + ((BURST_SECONDS + first) * SECOND) as Micros;
+            let first_delay = random_unit(&mut self.seed) / limit.max(parameters.min_rate);
+            self.limiter.next_call_at = now + ((BURST_SECONDS + first_delay) * SECOND) as Micros;
         }
     }
 
-    /// What this sender may count on of the limit for all senders or of the listed rate, which is rough.
+    /// Calls per second that this sender may use of the reported limit for all senders or, if none was
+    /// reported, of the listed rate, which is reduced because it is approximate.
     pub(super) fn own_share(&self, parameters: &Parameters) -> f64 {
         let limiter = &self.limiter;
         limiter.reported_limit.unwrap_or(limiter.listed_rate / UNEVEN_SHARE_FACTOR) * parameters.share
     }
 
-    /// Accepts a reported limit unless it is implausible: recovery from a wrong limit would take long.
+    /// Applies a reported limit unless it is implausible: recovery from a wrong limit would take long.
     pub(super) fn record_reported_limit(&mut self, reported: f64, batch: usize, parameters: &Parameters) {
         let limiter = &mut self.limiter;
         let is_listed = limiter.listed_rate > 0.0;
-        let expected = if is_listed { limiter.listed_rate } else { UNLISTED_RATE };
+        let expected = if is_listed { limiter.listed_rate } else { UNLISTED_CALLS_PER_SECOND };
         let factor = if is_listed { PLAUSIBLE_REPORT_FACTOR } else { PLAUSIBLE_REPORT_FACTOR.powi(2) };
         if !(expected / factor..=expected * factor).contains(&reported) {
             return;
@@ -61,7 +64,8 @@
         limiter.reported_limit = Some(reported);
     }
 
-    /// Increases the limit with time, after a delivery. Frequent calls that are not full do not test it.
+    /// Increases the limit after a delivery, in proportion to the time since its last change. Frequent calls
+    /// that are not full do not test the limit, and do not increase it.
     pub(super) fn increase_limit(&mut self, now: Micros, parameters: &Parameters) {
         self.limiter.rejections = 0;
         let Some(limit) = self.limiter.limit else { return };
@@ -76,8 +80,9 @@
         self.limiter.set_limit(now, increased);
     }
 
-    /// Decreases the limit, once for all calls sent before the first rejection of a wave was received. A
-    /// single call is no rate: many senders with rare calls would each go on far above their share.
+    /// Decreases the limit, once for all calls sent before the first rejection of a wave was received. The
+    /// rate of very few calls is discounted: otherwise many senders with rare calls would each stay far above
+    /// their share.
     pub(super) fn decrease_limit(&mut self, now: Micros, sent_at: Micros, parameters: &Parameters) {
         if sent_at < self.limiter.last_rejection {
             return;
@@ -87,12 +92,13 @@
         let is_shared = share > 0.0 && parameters.has_many_senders();
         let floor = if is_shared { share / MAX_BACKOFF_INTERVALS } else { parameters.rate_floor };
         let confidence = 1.0 - 1.0 / self.calls.count(now, parameters.warm_up).max(1.0);
-        let sent = (self.own_rate(now, parameters) * confidence).max(share);
-        let base = self.limiter.limit.map_or(sent, |limit| limit.min(sent));
+        let sent_rate = (self.own_rate(now, parameters) * confidence).max(share);
+        let base = self.limiter.limit.map_or(sent_rate, |limit| limit.min(sent_rate));
         self.limiter.set_limit(now, (base * DECREASE_FACTOR).max(floor));
     }
 
-    /// Holds calls back after a rejection. Many without a Retry-After, or a long one, show an outage.
+    /// Delays calls after a rejection. Many rejections without a Retry-After, or a long Retry-After, indicate
+    /// an outage.
     pub(super) fn back_off(&mut self, now: Micros, retry_after: Option<Micros>, parameters: &Parameters) {
         let wait = retry_after.unwrap_or(0).max(self.rejection_backoff(parameters));
         self.limiter.hold_until(now + wait);
@@ -102,7 +108,7 @@
         }
     }
 
-    /// Each wave doubles the backoff, since rejected calls may use up the limit themselves.
+    /// Returns the backoff. Each wave doubles it, since rejected calls may use up the limit themselves.
     fn rejection_backoff(&mut self, parameters: &Parameters) -> Micros {
         let share = self.own_share(parameters);
         let many_senders = parameters.has_many_senders();
--- a/src/decision/route.rs
+++ b/src/decision/route.rs
@@ -1,4 +1,4 @@
-//! What calls and their outcomes mean for a route, and when it is ready for the next call.
+//! Updates of a route by calls and their outcomes, and when the route is ready for the next call.
 
 use super::health::{RECENT_LATENCY_GAIN, USUAL_LATENCY_GAIN};
 use super::{Parameters, rate_limiter::BURST_SECONDS};
@@ -7,7 +7,7 @@
 use crate::sender_state::{BreakerState, Route};
 
 impl Route {
-    /// Calls per second of this sender, over the warm-up time or since the route is known.
+    /// Calls per second of this sender, over the warm-up time or since the route became known.
     pub(super) fn own_rate(&self, now: Micros, parameters: &Parameters) -> f64 {
         self.calls.per_second(now, parameters.warm_up, parameters.latency_objective)
     }
@@ -31,7 +31,7 @@
         limiter.wait_until.max(spaced)
     }
 
-    /// Updates the limits by a call that is sent now. A full one carries as many messages as a call may.
+    /// Records a call that is sent now. A `full` call carries as many messages as a call may.
     pub(super) fn record_call(&mut self, call: u64, now: Micros, full: bool, parameters: &Parameters) {
         if let Some(rate) = self.allowed_rate(now, parameters) {
             self.limiter.record_call(now, rate);
