--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -13,7 +13,8 @@
 }
 
 impl Balancer {
-    /// A later attempt would end too late, or the destination may have forgotten the idempotency key.
+    /// Returns the time from which an attempt must not be sent: it would end too late, or the destination may
+    /// have forgotten the idempotency key.
     pub(super) fn sendable_until(&self, message: &Message) -> Micros {
         let submission = &message.submission;
         let known = self.state.directory.destinations.get(&submission.destination);
@@ -27,7 +28,8 @@
         }
     }
 
-    /// Some destinations remember an idempotency key only in the zone where it was first used.
+    /// Whether a message may be sent to an endpoint in a zone. Some destinations remember an idempotency key
+    /// only in the zone where it was first used.
     fn is_sendable(&self, message: &Message, zone: usize, now: Micros) -> bool {
         let idempotency = self.parameters.settings.classes[message.submission.class].idempotency;
         let per_zone = matches!(idempotency, Idempotency::Keyed { per_zone: true, .. });
@@ -35,14 +37,14 @@
         key_known && now < self.sendable_until(message)
     }
 
-    /// Whether a message that was accepted before a restart may get no attempt any more if the next probe
-    /// takes another one.
-    fn is_last_chance(&self, message: &Message, now: Micros) -> bool {
-        let next_chance = now + longest_probe_interval(&self.parameters) as Micros;
-        message.is_accepted_and_untried() && self.sendable_until(message) < next_chance
+    /// Whether a message that was accepted before a restart may get no attempt if this probe takes another
+    /// message.
+    fn needs_this_probe(&self, message: &Message, now: Micros) -> bool {
+        let next_probe_at = now + longest_probe_interval(&self.parameters) as Micros;
+        message.is_accepted_and_untried() && self.sendable_until(message) < next_probe_at
     }
 
-    /// Fraction of its weight that a message has left at a time, by the weight decay that is configured.
+    /// Fraction of its weight that a message has left at a time, by the configured weight decay.
     fn remaining_weight(&self, message: &Message, at: Micros) -> f64 {
         let class = &self.parameters.settings.classes[message.submission.class];
         let late = (at - message.due).max(0) as f64;
@@ -55,7 +57,7 @@
 
     /// The value of a delivery of a message at a time, by which messages compete for call slots.
     pub(super) fn value(&self, message: &Message, at: Micros) -> f64 {
-        // A message that was accepted before a restart was promised an attempt: it is tried first.
+        // A message that was accepted before a restart must get an attempt: it is sent first.
         if message.is_accepted_and_untried() {
             return f64::MAX;
         }
@@ -71,8 +73,9 @@
             * if message.over_quota { settings.over_quota_weight } else { 1.0 }
     }
 
-    /// The message with the highest value at an endpoint. Of each queue, the first message that will be
-    /// delivered on time and the first of all are compared; equal values are ordered by when they are due.
+    /// Returns the message with the highest value at an endpoint. In each queue, only the first message that
+    /// can be delivered on time and the first message of all are compared; of equal values, the message due
+    /// first wins.
     pub(super) fn best_message(&self, route_id: RouteId, now: Micros) -> Option<MessageChoice> {
         let route = self.state.directory.route(route_id);
         let zone = self.state.directory.endpoints[&route_id.endpoint].zone;
@@ -84,15 +87,16 @@
         let repeatable_queued = queues.of(route_id.destination).any(|(key, _)| !at_most_once(key.class));
         let mut best: Option<MessageChoice> = None;
         for (key, queue) in queues.of(route_id.destination) {
-            // A probe may be lost: a message that may be executed again is preferred.
+            // A probe may be lost: messages that may be executed again are preferred.
             let avoids_probe = probe && repeatable_queued && at_most_once(key.class);
             let on_time = queue.range((delivered_at, 0)..).next();
             for &(due, id) in on_time.into_iter().chain(queue.first()) {
                 let message = &self.state.messages[id];
-                if avoids_probe && !self.is_last_chance(message, now) {
+                if avoids_probe && !self.needs_this_probe(message, now) {
                     continue;
                 }
-                // Where calls fail, a message that must not be executed twice waits for a recovery.
+                // If calls fail, a message that must not be executed twice waits for a recovery as long as it
+                // is not urgent.
                 let may_wait = delivered_at + self.parameters.objective_divided_by(4) < message.due;
                 if wait_for_recovery && may_wait && at_most_once(key.class) {
                     continue;
--- a/src/decision/sending.rs
+++ b/src/decision/sending.rs
@@ -1,4 +1,4 @@
-//! Sending: a call to an endpoint and the messages that travel in it.
+//! Sending of a call to an endpoint, and of the messages in it.
 
 use super::{Balancer, endpoint_choice::Candidate};
 use crate::interface::{Action, MessageId, Micros};
@@ -10,7 +10,7 @@
 const MIN_TIMEOUT_OBJECTIVES: f64 = 2.0;
 
 impl Balancer {
-    /// Sends one call: the chosen message and, as far as there is room, others for the same destination.
+    /// Sends one call with the chosen message and, as far as there is room, others for the same destination.
     pub(super) fn send(&mut self, now: Micros, candidate: Candidate, actions: &mut Vec<Action>) {
         let Candidate { route: route_id, message, .. } = candidate;
         let call = self.state.calls.next_call();
@@ -35,7 +35,7 @@
         self.state.start_attempt(id, attempt);
         let message = &self.state.messages[id];
         let time_left = (message.submission.expires_at - now).max(1);
-        // A message that allows one execution is given all the time that it has.
+        // A message that must not be executed twice gets all of its remaining time.
         let at_most_once = self.parameters.at_most_once(message.submission.class);
         let timeout = if at_most_once { time_left } else { retry_timeout.min(time_left) };
         let send_before = self.sendable_until(message);
