--- a/src/decision/backlog_report.rs
+++ b/src/decision/backlog_report.rs
@@ -1,13 +1,12 @@
-//! Diagnostics: what delays the messages of a destination. No decision is made here.
+//! Diagnostics: reports what delays the messages of a destination. The reports affect no decision.
 
 use super::Balancer;
 use crate::interface::{DestinationBacklog, DestinationId, Micros};
 
-/// Number of destinations that are reported.
 const MAX_REPORTED_DESTINATIONS: usize = 4;
 
 impl Balancer {
-    /// The destinations with the most queued messages, and what delays them.
+    /// Returns the destinations with the most queued messages, and what delays their messages.
     pub fn backlog(&self, now: Micros) -> Vec<DestinationBacklog> {
         let longest = self.state.messages.queues().longest(MAX_REPORTED_DESTINATIONS);
         longest.into_iter().map(|(messages, id)| self.destination_backlog(id, messages, now)).collect()
--- a/src/decision/parameters.rs
+++ b/src/decision/parameters.rs
@@ -1,33 +1,34 @@
-//! The settings of a sender and the quantities that follow from them alone.
+//! The settings of a sender and the values that are derived from them alone.
 
 use crate::estimators::SECOND;
 use crate::interface::{Idempotency, Micros, Settings};
 
-/// Senders are loaded unevenly: one may count on this multiple of its even share of what all of them share.
+/// Senders are loaded unevenly: each may use up to this multiple of an even share of a common limit.
 pub(super) const UNEVEN_SHARE_FACTOR: f64 = 2.0;
-/// Objectives and the resolution of timers are taken as at least one millisecond.
+/// The latency objective and the resolution of timers are at least this.
 const MIN_DURATION: Micros = 1_000;
-/// Time constant of the decay of outcomes, as a fraction of the warm-up time.
+/// Time constant of the decay of outcome counts, as a fraction of the warm-up time.
 const OUTCOME_DECAY_FRACTION: f64 = 0.4;
 
-/// The settings and what follows from them alone. Durations are in microseconds.
+/// The settings and the values derived from them. Durations are in microseconds.
 pub(super) struct Parameters {
     pub(super) settings: Settings,
     /// The shortest latency objective of all classes.
     pub(super) latency_objective: f64,
     /// How long a destination warms up after an outage.
     pub(super) warm_up: f64,
-    /// Time constant of the decay of outcomes.
+    /// Time constant of the decay of outcome counts.
     pub(super) outcome_decay: f64,
     /// Number of senders, at least one.
     pub(super) senders: f64,
-    /// Fraction of what all senders share that this one may count on.
+    /// Fraction of a common limit of all senders that this sender may use.
     pub(super) share: f64,
-    /// The slowest useful rate in calls per second: one per objective, or two per objective of all senders.
+    /// The slowest useful rate in calls per second: one call per latency objective, or two per objective from
+    /// all senders together.
     pub(super) min_rate: f64,
-    /// The lowest limit in calls per second, below the slowest useful rate.
+    /// The lowest rate limit in calls per second. It is lower than `min_rate`.
     pub(super) rate_floor: f64,
-    /// The least latency that is assumed, as a part of the latency objective.
+    /// The least latency that is assumed, derived from the latency objective.
     pub(super) min_latency: f64,
     /// Resolution of the timers of the host.
     pub(super) tick: Micros,
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Whether limits are shared with so many senders that they must not act in step.
+    /// Whether so many senders share limits that they must not call at the same time.
     pub(super) fn has_many_senders(&self) -> bool {
         self.share < 0.5
     }
@@ -71,7 +72,7 @@
         self.settings.classes[class].idempotency == Idempotency::NotIdempotent
     }
 
-    /// Additional age that a call must have before it is cancelled if that loses a message.
+    /// Additional age that a call must reach before it is cancelled if the cancellation loses a message.
     pub(super) fn cancellation_reserve(&self, at_most_once: bool) -> Micros {
         if at_most_once { self.objective_divided_by(2) } else { 0 }
     }
