--- a/src/sender_state/directory_changes.rs
+++ b/src/sender_state/directory_changes.rs
@@ -1,14 +1,15 @@
 //! Changes of the directory by the endpoint list and by operators.
 //!
-//! They keep this invariant: the endpoints of a destination are those that the list has in service under it and that
-//! are not banned.
+//! Invariant: the endpoints of a destination are those that the list has in service for it and that are not
+//! banned.
 
 use super::directory::{Directory, Endpoint, RouteId};
 use super::route::Route;
 use crate::interface::{DestinationId, DestinationKind, EndpointEntry, EndpointId, EndpointState, Micros};
 
 impl Directory {
-    /// Applies one entry of the list, and returns its route. Only endpoints in service get new calls.
+    /// Applies an entry of the endpoint list, and returns the route of its endpoint. Only endpoints in
+    /// service get new calls.
     pub(crate) fn update(
         &mut self,
         now: Micros,
@@ -33,8 +34,8 @@
         self.route_mut(RouteId { destination: entry.destination, endpoint: entry.endpoint })
     }
 
-    /// Sets the kind of a known destination. If its routes become separate or shared by that, waits and outages still
-    /// hold.
+    /// Sets the kind of a known destination. Its waits, outages and warm-ups still apply if its routes become
+    /// separate or shared.
     fn set_kind(&mut self, id: DestinationId, kind: DestinationKind) {
         let destination = self.destinations.get_mut(&id).expect("the destination is known");
         let was_separate = std::mem::replace(&mut destination.kind, kind).separate_routes;
@@ -50,8 +51,9 @@
         }
     }
 
-    /// Notes that an endpoint, if it is known, is listed under a destination. If that is another one than before, its
-    /// waits, outages and calls in flight remain; rates and connections are learned anew.
+    /// Moves a known endpoint to the destination under which it is listed now. If that destination is a
+    /// different one, the waits, outages, recent outcomes and calls in flight of the endpoint are kept, but
+    /// its rates, latencies and connections are forgotten.
     fn move_endpoint(&mut self, now: Micros, id: EndpointId, destination: DestinationId, seed: &mut u64) {
         let Some(endpoint) = self.endpoints.get(&id).filter(|known| known.destination != destination) else {
             return;
@@ -62,12 +64,12 @@
         let endpoint = self.endpoint_mut(id);
         endpoint.destination = destination;
         endpoint.idle_connections.clear();
-        endpoint.route.forget_rates(now, seed);
+        endpoint.route.forget_rates_and_latency(now, seed);
     }
 
-    /// Forgets endpoints that were removed longer ago than `retention` (microseconds), once no call is in
-    /// flight there and no wait holds. If one is listed again before, its waits and outages still hold. What
-    /// is known about its destination stays.
+    /// Forgets endpoints that were removed at least `retention` (microseconds) ago, once they have no call in
+    /// flight and their wait is over. The waits and outages of an endpoint that is listed again before that
+    /// still apply. What is known about destinations is kept.
     pub(crate) fn forget_removed(&mut self, now: Micros, retention: Micros) {
         let endpoints = &mut self.endpoints;
         self.removed.retain(|id, removed_at| {
@@ -82,7 +84,8 @@
         });
     }
 
-    /// Bans an endpoint: no new call may be sent to it. Returns its route if it is known and was not banned.
+    /// Bans an endpoint, so that no new call is sent to it. Returns the route of the endpoint if it is known
+    /// and was not banned.
     pub(crate) fn start_ban(&mut self, id: EndpointId) -> Option<&mut Route> {
         if !self.banned.insert(id) {
             return None;
@@ -92,7 +95,8 @@
         Some(self.route_mut(RouteId { destination, endpoint: id }))
     }
 
-    /// Ends the ban of an endpoint, and forgets its connections. Returns it if it is known and was banned.
+    /// Ends the ban of an endpoint, and forgets its idle connections. Returns the endpoint if it is known and
+    /// was banned.
     pub(crate) fn end_ban(&mut self, id: EndpointId) -> Option<&mut Endpoint> {
         if !self.banned.remove(&id) {
             return None;
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Marks every endpoint as removed; the entries of a snapshot are applied afterwards.
+    /// Marks every endpoint as removed, before the entries of a complete endpoint list are applied.
     pub(crate) fn remove_all(&mut self, now: Micros) {
         self.destinations.values_mut().for_each(|destination| destination.endpoints.clear());
         for (id, endpoint) in &mut self.endpoints {
--- a/src/sender_state/route.rs
+++ b/src/sender_state/route.rs
@@ -1,4 +1,5 @@
-//! What is known about a route: a destination as a whole, or one endpoint of it where routes are separate.
+//! Health, limits and circuit breaker of a route: a destination as a whole, or one of its endpoints where
+//! routes are separate.
 
 use crate::estimators::{DecayingCounter, MovingAverage, RateEstimator, SECOND, random_unit};
 use crate::interface::{Micros, Outcome};
@@ -10,14 +11,14 @@
     /// Calls are sent as usual.
     #[default]
     Closed,
-    /// The destination is considered down: only probe calls are sent, none before `next_probe`.
+    /// The route is considered down: only probe calls are sent, none before `next_probe`.
     Open {
         /// The earliest time of the next probe.
         next_probe: Micros,
     },
-    /// The destination has recovered, and has its full capacity only after the warm-up time.
+    /// The route has recovered, and has its full capacity only after the warm-up time.
     WarmingUp {
-        /// When it recovered.
+        /// When the route recovered.
         since: Micros,
     },
 }
@@ -25,14 +26,14 @@
 /// The circuit breaker of a route.
 #[derive(Default)]
 pub(crate) struct CircuitBreaker {
-    /// Its state.
+    /// The state of the circuit breaker.
     pub(crate) state: BreakerState,
-    /// Calls per second of this sender that the destination accepted before the outage; 0 if unknown.
+    /// Calls per second that the route accepted from this sender before the outage; 0 if unknown.
     pub(crate) healthy_rate: f64,
 }
 
 impl CircuitBreaker {
-    /// Whether the destination is considered down.
+    /// Whether the route is considered down.
     pub(crate) fn is_open(&self) -> bool {
         matches!(self.state, BreakerState::Open { .. })
     }
@@ -43,9 +44,9 @@
 pub(crate) struct Health {
     /// Deliveries.
     pub(crate) successes: DecayingCounter,
-    /// Failures that are evidence about the health of the destination.
+    /// Failures that are evidence about the health of the route.
     pub(crate) failures: DecayingCounter,
-    /// The failures that may have been executed.
+    /// Failed calls that may have been executed.
     pub(crate) possible_executions: DecayingCounter,
     /// Failures since the last delivery.
     pub(crate) failures_in_a_row: u32,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Forgets the failures before a recovery, which are no evidence about the time after it.
+    /// Forgets the failures before a recovery, which are no evidence about the health after it.
     pub(crate) fn forget_failures(&mut self) {
         self.failures = DecayingCounter::default();
         self.possible_executions = DecayingCounter::default();
@@ -77,31 +78,32 @@
     pub(crate) recent: MovingAverage,
 }
 
-/// The limits of a route, and when its next call is due. Rates are in calls per second.
+/// The rate limits of a route, and when its next call is due. Rates are in calls per second. Rejections of
+/// calls that were sent before the first rejection of a wave was received belong to that wave.
 #[derive(Default)]
 pub(crate) struct RateLimiter {
-    /// What this sender may send at present, if it is limited.
+    /// The current limit of this sender, if there is one.
     pub(crate) limit: Option<f64>,
-    /// What the destination reported to allow for all senders.
+    /// The limit for all senders together that the destination reported.
     pub(crate) reported_limit: Option<f64>,
-    /// The rate for all senders in the endpoint list; 0 if it has none.
+    /// The rate for all senders together from the endpoint list; 0 if none is listed.
     pub(crate) listed_rate: f64,
     /// When the next evenly spaced call is due.
     pub(crate) next_call_at: Micros,
     /// End of the longest wait that the destination asked for or that was chosen as backoff.
     pub(crate) wait_until: Micros,
-    /// The last call carried as many messages as a call may.
+    /// Whether the last call carried as many messages as a call may.
     pub(crate) last_call_full: bool,
-    /// Rejections since the last delivery; those of one wave count once.
+    /// Waves of rejections since the last delivery.
     pub(crate) rejections: u32,
-    /// When the first rejection of the last wave was received.
+    /// When the first rejection of the latest wave was received.
     pub(crate) last_rejection: Micros,
-    /// When the limit was changed.
+    /// When the limit was last changed.
     pub(crate) limit_changed_at: Micros,
 }
 
 impl RateLimiter {
-    /// Takes note of a call that is sent now: the next one is due one interval later.
+    /// Records that a call is sent now: the next call is due one interval later.
     pub(crate) fn record_call(&mut self, now: Micros, calls_per_second: f64) {
         self.next_call_at = self.next_call_at.max(now) + (SECOND / calls_per_second) as Micros;
     }
@@ -117,53 +119,54 @@
         self.limit_changed_at = now;
     }
 
-    /// Takes note of the first rejection of a wave.
+    /// Records the first rejection of a wave.
     pub(crate) fn record_rejection(&mut self, now: Micros) {
         self.rejections += 1;
         self.last_rejection = now;
     }
 
-    /// No call may be sent until then.
+    /// Prevents calls until a time. A longer wait stays in force.
     pub(crate) fn hold_until(&mut self, until: Micros) {
         self.wait_until = self.wait_until.max(until);
     }
 }
 
-/// What is known about a destination, or about one of its endpoints where routes are separate.
+/// Health, limits and circuit breaker of a destination, or of one of its endpoints where routes are separate.
 pub(crate) struct Route {
-    /// Whether calls are sent at all.
+    /// The circuit breaker, which allows only probe calls while it is open.
     pub(crate) breaker: CircuitBreaker,
-    /// How calls end.
+    /// Recent outcomes of calls.
     pub(crate) health: Health,
-    /// How long calls take.
+    /// Average latencies of calls.
     pub(crate) latency: Latency,
-    /// How often calls may be sent.
+    /// Limits and waits for new calls.
     pub(crate) limiter: RateLimiter,
-    /// How often calls were sent.
+    /// Rate of the calls that were sent.
     pub(crate) calls: RateEstimator,
-    /// When each call that is still in flight was sent.
+    /// When each call in flight was sent, by the number of the call.
     pub(crate) in_flight: BTreeMap<u64, Micros>,
     /// When the last delivery was received.
     pub(crate) last_delivery: Micros,
-    /// State of the random numbers of this route.
+    /// State of this route's random number generator.
     pub(crate) seed: u64,
 }
 
 impl Route {
-    /// Number of calls in flight that are older than an age and were sent at `since` or later.
+    /// Number of calls in flight that are older than `age` and were sent at `since` or later.
     pub(crate) fn count_calls_older_than(&self, now: Micros, age: Micros, since: Micros) -> usize {
         let counts = |sent_at: &&Micros| now - **sent_at > age && **sent_at >= since;
         self.in_flight.values().filter(counts).count()
     }
 
-    /// Takes note of a call that is sent. `time_constant` is in microseconds.
+    /// Records that a call is sent, and whether it carries as many messages as a call may. `time_constant` is
+    /// in microseconds.
     pub(crate) fn record_sent_call(&mut self, call: u64, now: Micros, full: bool, time_constant: f64) {
         self.limiter.last_call_full = full;
         self.in_flight.insert(call, now);
         self.calls.add(now, time_constant);
     }
 
-    /// Takes over the wait and the outage of another route, which hold for this one too.
+    /// Applies the wait, and the outage or warm-up, of another route to this one too.
     pub(crate) fn adopt_restrictions(&mut self, other: &Route) {
         self.limiter.hold_until(other.limiter.wait_until);
         if self.breaker.state == BreakerState::Closed {
@@ -171,15 +174,16 @@
         }
     }
 
-    /// Forgets what is known but for waits, outages, outcomes and calls in flight.
-    pub(crate) fn forget_rates(&mut self, now: Micros, seed: &mut u64) {
-        let known = std::mem::replace(self, Route::new(now, seed));
-        self.adopt_restrictions(&known);
-        self.health = known.health;
-        self.in_flight = known.in_flight;
+    /// Forgets rates, limits and latencies. The wait, the outage or warm-up, recent outcomes and calls in
+    /// flight are kept.
+    pub(crate) fn forget_rates_and_latency(&mut self, now: Micros, seed: &mut u64) {
+        let previous = std::mem::replace(self, Route::new(now, seed));
+        self.adopt_restrictions(&previous);
+        self.health = previous.health;
+        self.in_flight = previous.in_flight;
     }
 
-    /// A route about which nothing is known. Its random numbers are derived from `seed`.
+    /// Creates a route about which nothing is known. Its random numbers are derived from `seed`.
     pub(crate) fn new(now: Micros, seed: &mut u64) -> Self {
         random_unit(seed);
         let limiter = RateLimiter {
