--- a/src/sender_state/calls.rs
+++ b/src/sender_state/calls.rs
@@ -1,32 +1,33 @@
-//! The calls in flight and the attempts that travel in them.
+//! The calls in flight and the attempts that they carry.
 
 use super::directory::RouteId;
 use super::multiset::Multiset;
 use crate::interface::{Action, DestinationId, MessageId, Micros};
 use std::collections::BTreeMap;
 
-/// An attempt in flight. Attempts that travel in one call share its number.
+/// An attempt in flight. The attempts in one call share the number of that call.
 pub(crate) struct Attempt {
-    /// Number of the call that it travels in.
+    /// Number of the call that carries the attempt.
     pub(crate) call: u64,
-    /// Where it was sent.
+    /// The destination and the endpoint that the attempt was sent to.
     pub(crate) route: RouteId,
-    /// Index of the class of its message.
+    /// Index of the class of the message.
     pub(crate) class: usize,
-    /// Index of the zone in which its endpoint was listed when it was sent.
+    /// Index of the zone in which the endpoint was listed when the attempt was sent.
     pub(crate) zone: usize,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub(crate) sent_at: Micros,
-    /// The host was told to cancel it.
+    /// Whether the host was asked to cancel the attempt.
     pub(crate) cancelled: bool,
-    /// It was cancelled because no response can be expected any more: its end is no evidence about health.
+    /// Whether the attempt was cancelled because no response can be expected any more. The end of such an
+    /// attempt is no evidence about the health of the route.
     pub(crate) lost: bool,
-    /// The ordering key of its message.
+    /// The ordering key of the message.
     pub(crate) ordering_key: Option<String>,
 }
 
 impl Attempt {
-    /// An attempt of the first class, to the first zone, without an ordering key.
+    /// Creates an attempt with class 0, zone 0 and no ordering key.
     pub(crate) fn new(call: u64, route: RouteId, sent_at: Micros) -> Self {
         Attempt { call, route, class: 0, zone: 0, sent_at, cancelled: false, lost: false, ordering_key: None }
     }
@@ -35,11 +36,11 @@
 /// All attempts in flight. Each call takes one call slot.
 #[derive(Default)]
 pub(crate) struct CallTable {
-    /// By message and by the number of the attempt.
+    /// Attempts by message and attempt number.
     attempts: BTreeMap<(MessageId, usize), Attempt>,
-    /// Each call, as often as it has attempts in flight.
+    /// Each call, counted once for each of its attempts in flight.
     attempts_by_call: Multiset<u64>,
-    /// The destination of each call.
+    /// The destinations, each counted once for each call to it.
     destinations: Multiset<DestinationId>,
     next_call: u64,
 }
@@ -50,12 +51,12 @@
         self.next_call
     }
 
-    /// Call slots in use.
+    /// Number of call slots in use.
     pub(crate) fn slots_used(&self) -> usize {
         self.attempts_by_call.distinct()
     }
 
-    /// Calls to a destination.
+    /// Number of calls in flight to a destination.
     pub(crate) fn count(&self, destination: DestinationId) -> usize {
         self.destinations.count(destination)
     }
@@ -75,7 +76,7 @@
         self.attempts.values().any(|attempt| attempt.cancelled && attempt.route.destination == destination)
     }
 
-    /// The attempts that are not cancelled, by call.
+    /// Returns the attempts that are not cancelled, by call.
     pub(crate) fn active_by_call(&self) -> BTreeMap<u64, Vec<&Attempt>> {
         let mut calls: BTreeMap<u64, Vec<&Attempt>> = BTreeMap::new();
         for attempt in self.attempts.values().filter(|attempt| !attempt.cancelled) {
@@ -84,22 +85,22 @@
         calls
     }
 
-    /// Cancels the attempts for which `is_to_be_cancelled` returns true, and adds the actions. Attempts that
-    /// have been cancelled before are not passed to it.
+    /// Cancels the attempts for which `should_cancel` returns true, and adds the actions. Attempts that are
+    /// already cancelled are skipped.
     pub(crate) fn cancel_where(
         &mut self,
         actions: &mut Vec<Action>,
-        mut is_to_be_cancelled: impl FnMut(&mut Attempt) -> bool,
+        mut should_cancel: impl FnMut(&mut Attempt) -> bool,
     ) {
         for (&(id, number), attempt) in self.attempts.iter_mut().filter(|(_, attempt)| !attempt.cancelled) {
-            if is_to_be_cancelled(attempt) {
+            if should_cancel(attempt) {
                 attempt.cancelled = true;
                 actions.push(Action::Cancel { id, attempt: number });
             }
         }
     }
 
-    /// Adds an attempt; with the first one of a call, the call.
+    /// Adds an attempt. The first attempt of a call also adds the call.
     pub(crate) fn insert(&mut self, id: MessageId, number: usize, attempt: Attempt) {
         if !self.contains(attempt.call) {
             self.destinations.insert(attempt.route.destination);
@@ -109,7 +110,8 @@
         self.attempts.insert((id, number), attempt);
     }
 
-    /// Removes an attempt; with the last one of a call, the call. Returns it if it was in flight.
+    /// Removes an attempt and returns it, or returns `None` if it was not in flight. The last attempt of a
+    /// call also removes the call.
     pub(crate) fn remove(&mut self, id: MessageId, number: usize) -> Option<Attempt> {
         let attempt = self.attempts.remove(&(id, number))?;
         if self.attempts_by_call.remove(attempt.call) == 0 {
--- a/src/sender_state/idle_connections.rs
+++ b/src/sender_state/idle_connections.rs
@@ -8,7 +8,7 @@
 pub(crate) struct IdleConnections(VecDeque<Micros>);
 
 impl IdleConnections {
-    /// Whether there is no connection, usable or not.
+    /// Whether there is no connection, not even one that has reached the timeout.
     pub(crate) fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
@@ -24,7 +24,7 @@
         self.0.retain(|last_used| now - last_used < idle_timeout);
     }
 
-    /// Removes the connection that was used last, for a call.
+    /// Removes the most recently used connection, which a call will use.
     pub(crate) fn take(&mut self) {
         self.0.pop_back();
     }
