--- a/src/sender_state/message.rs
+++ b/src/sender_state/message.rs
@@ -1,4 +1,4 @@
-//! Messages that have no final answer yet.
+//! A message without a final answer, and its state.
 
 use super::message_queues::QueueKey;
 use crate::interface::{Micros, PossibleExecution, Submission};
@@ -6,13 +6,13 @@
 /// Whether a message can be sent.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum MessageState {
-    /// Ready in a queue of its destination.
+    /// In a queue of its destination, ready to be sent.
     Queued,
-    /// Not to be sent before this time.
+    /// Not to be sent before `until`.
     Delayed { until: Micros },
     /// An attempt is in flight.
     InFlight,
-    /// Between two of these states, or behind another message with its ordering key.
+    /// Between two other states, or waiting for another message with its ordering key.
     Blocked,
 }
 
@@ -20,26 +20,26 @@
 pub(crate) struct Message {
     /// The message as it was submitted, without the ordering key if its class is not ordered.
     pub(crate) submission: Submission,
-    /// The tenant had used up its quota.
+    /// Whether the tenant had used up its quota when the message was submitted.
     pub(crate) over_quota: bool,
-    /// A delivery up to this time has the full weight.
+    /// Until this time a delivery has its full weight.
     pub(crate) due: Micros,
-    /// When the message is answered if it has not been delivered.
+    /// When the message gets its final answer if it has not been delivered.
     pub(crate) give_up_at: Micros,
     /// Number of attempts made.
     pub(crate) attempts: usize,
-    /// The attempts that never left this process.
+    /// Number of attempts of which nothing was written to the endpoint.
     pub(crate) unsent_attempts: usize,
-    /// Whether it can be sent.
+    /// Whether the message can be sent.
     pub(crate) state: MessageState,
     /// The first attempt that may have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// The response is being streamed to the client, so that no other answer must follow.
+    /// Whether the response is being streamed to the client, so that no other answer may follow.
     pub(crate) response_started: bool,
 }
 
 impl Message {
-    /// A message that is not queued yet.
+    /// Creates a message that is not queued yet.
     pub(crate) fn new(submission: Submission, over_quota: bool, due: Micros, now: Micros) -> Self {
         Message {
             over_quota,
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The queue that it belongs to.
+    /// The queue that the message belongs to.
     pub(crate) fn queue_key(&self) -> QueueKey {
         QueueKey { class: self.submission.class, over_quota: self.over_quota }
     }
 
-    /// Whether a predecessor accepted it and no attempt has left a process so far.
+    /// Whether a predecessor accepted the message and nothing of it has been written to an endpoint so far.
     pub(crate) fn is_accepted_and_untried(&self) -> bool {
         self.submission.history.accepted && self.attempts == self.unsent_attempts
     }
--- a/src/sender_state/message_queues.rs
+++ b/src/sender_state/message_queues.rs
@@ -1,21 +1,21 @@
-//! Queues of messages, by destination and by what the messages of a queue have in common.
+//! Queues of messages, by destination, class and use of the tenant's quota.
 
 use crate::interface::{DestinationId, MessageId, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the messages of one queue have in common.
+/// The properties that all messages of one queue share.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueueKey {
-    /// Index of the class.
+    /// Index of the class of the messages.
     pub(crate) class: usize,
-    /// The tenant had used up its quota when the message was submitted.
+    /// Whether their tenants had used up their quotas when the messages were submitted.
     pub(crate) over_quota: bool,
 }
 
-/// Messages of one queue with the times at which they are due, earliest first.
+/// The messages of one queue with the times until which they have their full weight, earliest first.
 type Queue = BTreeSet<(Micros, MessageId)>;
 
-/// The queues of all destinations. Empty queues are dropped.
+/// The queues of all destinations. Empty queues are removed.
 #[derive(Debug, Default)]
 pub(crate) struct MessageQueues(BTreeMap<DestinationId, BTreeMap<QueueKey, Queue>>);
 
@@ -40,7 +40,7 @@
         self.of(destination).map(|(_, queue)| queue.len()).sum()
     }
 
-    /// The destinations with the most queued messages, at most `limit`, each after its number of messages.
+    /// At most `limit` destinations with the most queued messages, each with its number of messages.
     pub(crate) fn longest(&self, limit: usize) -> Vec<(usize, DestinationId)> {
         let mut queued: Vec<_> = self.destinations().map(|id| (self.len(id), id)).collect();
         queued.sort_unstable_by(|a, b| b.cmp(a));
--- a/src/sender_state/message_table.rs
+++ b/src/sender_state/message_table.rs
@@ -1,4 +1,4 @@
-//! All messages without a final answer, with their queues and timers.
+//! Owns all messages without a final answer, with their queues and timers.
 
 use super::message::{Message, MessageState};
 use super::message_queues::MessageQueues;
@@ -7,8 +7,8 @@
 use std::collections::BTreeMap;
 use std::ops::Index;
 
-/// All messages without a final answer. Methods that take an id expect an open message unless their comment
-/// allows others.
+/// All messages without a final answer. Methods that take an id panic if that message is not open, unless
+/// their comment allows this.
 #[derive(Default)]
 pub(crate) struct MessageTable {
     messages: BTreeMap<MessageId, Message>,
@@ -31,12 +31,13 @@
         self.messages.len()
     }
 
-    /// A message, if it is open.
+    /// Returns a message, if it is open.
     pub(crate) fn get(&self, id: MessageId) -> Option<&Message> {
         self.messages.get(&id)
     }
 
-    /// A message, if it is open. The fields that its queue or timers depend on must not be changed.
+    /// Returns a message for changes, if it is open. Fields that its queue or timers depend on must not be
+    /// changed.
     pub(crate) fn get_mut(&mut self, id: MessageId) -> Option<&mut Message> {
         self.messages.get_mut(&id)
     }
@@ -60,7 +61,7 @@
         destination
     }
 
-    /// Delays a message.
+    /// Delays a message until a time.
     pub(crate) fn delay(&mut self, id: MessageId, until: Micros) {
         self.open_message(id).state = MessageState::Delayed { until };
         self.delayed.insert(until, id);
@@ -75,7 +76,7 @@
         message
     }
 
-    /// Marks a message as in flight, in the last of a number of attempts, if it is open.
+    /// Marks a message as in flight and sets its number of attempts, if the message is open.
     pub(crate) fn set_in_flight(&mut self, id: MessageId, attempts: usize) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.state = MessageState::InFlight;
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Notes that the client receives the response of a message, if it is open.
+    /// Records that the client is receiving the response of a message, if it is open.
     pub(crate) fn set_response_started(&mut self, id: MessageId) {
         if let Some(message) = self.messages.get_mut(&id) {
             message.response_started = true;
@@ -98,7 +99,7 @@
         Some(message)
     }
 
-    /// Sets the time at which a message is answered if it has not been delivered.
+    /// Sets the time at which a message gets its final answer if it has not been delivered.
     pub(crate) fn set_give_up_at(&mut self, id: MessageId, at: Micros) {
         let message = self.messages.get_mut(&id).expect("the message is open");
         self.give_up_times.remove(message.give_up_at, id);
@@ -106,17 +107,17 @@
         self.give_up_times.insert(at, id);
     }
 
-    /// The next message whose time to be answered has come. Its timer is removed.
+    /// Returns the next message whose give-up time has come, and removes the timer.
     pub(crate) fn pop_expired(&mut self, now: Micros) -> Option<MessageId> {
         self.give_up_times.pop_due(now)
     }
 
-    /// The next message whose delay has ended.
+    /// Returns the next message whose delay has ended, and removes the timer.
     pub(crate) fn pop_delayed(&mut self, now: Micros) -> Option<MessageId> {
         self.delayed.pop_due(now)
     }
 
-    /// The earliest of the timers.
+    /// Returns the earliest time of all timers.
     pub(crate) fn next_timer(&self) -> Option<Micros> {
         let timers = [self.give_up_times.first_time(), self.delayed.first_time()];
         timers.into_iter().flatten().min()
