--- a/src/sender_state/class_results.rs
+++ b/src/sender_state/class_results.rs
@@ -1,4 +1,4 @@
-//! Results of the messages of a class: delivered or not.
+//! How many messages of a class were delivered and how many were not.
 
 use crate::estimators::DecayingCounter;
 use crate::interface::Micros;
@@ -8,7 +8,7 @@
 pub(crate) struct ClassResults {
     /// Messages that were delivered.
     pub(crate) delivered: DecayingCounter,
-    /// Messages that ended in any way.
+    /// Messages that were delivered, failed or were rejected.
     pub(crate) ended: DecayingCounter,
 }
 
@@ -19,7 +19,7 @@
         self.ended.add(now, time_constant);
     }
 
-    /// Counts a message that was given up or rejected. `time_constant` is in microseconds.
+    /// Counts a message that failed or was rejected. `time_constant` is in microseconds.
     pub(crate) fn record_loss(&mut self, now: Micros, time_constant: f64) {
         self.ended.add(now, time_constant);
     }
--- a/src/sender_state/multiset.rs
+++ b/src/sender_state/multiset.rs
@@ -18,12 +18,12 @@
         self.0.len()
     }
 
-    /// How often it holds an element.
+    /// How often the set holds an element.
     pub(crate) fn count(&self, element: T) -> usize {
         self.0.get(&element).copied().unwrap_or(0)
     }
 
-    /// Its different elements in ascending order, each with its count.
+    /// The different elements in ascending order, each with its count.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (T, usize)> {
         self.0.iter().map(|(element, count)| (*element, *count))
     }
@@ -33,7 +33,7 @@
         *self.0.entry(element).or_default() += 1;
     }
 
-    /// Removes an element once, and returns how often it is still held.
+    /// Removes an element once, and returns how often the set still holds it.
     pub(crate) fn remove(&mut self, element: T) -> usize {
         let left = self.count(element).saturating_sub(1);
         if left == 0 {
--- a/src/sender_state/ordering_keys.rs
+++ b/src/sender_state/ordering_keys.rs
@@ -13,15 +13,16 @@
 
 /// The first of the messages with an ordering key.
 pub(crate) struct NextInOrder {
-    /// Its id.
+    /// The id of the message.
     pub(crate) id: MessageId,
-    /// Attempts with the key that are in flight, of this message or of others.
+    /// Attempts in flight with this key, of this message or of others.
     pub(crate) attempts_in_flight: usize,
     /// End of the pause of the key.
     pub(crate) paused_until: Micros,
 }
 
-/// The messages with ordering keys, by key. A key is dropped once nothing more is to be remembered about it.
+/// The messages with ordering keys, by key. A key is removed once it has no message, no attempt in flight and
+/// no pause.
 #[derive(Default)]
 pub(crate) struct OrderingKeys(BTreeMap<String, OrderingKey>);
 
@@ -50,14 +51,15 @@
         }
     }
 
-    /// Pauses a key at least until a time.
+    /// Pauses a key until a time. A longer pause of the key stays in force.
     pub(crate) fn pause(&mut self, key: &str, until: Micros) {
         if let Some(ordering) = self.0.get_mut(key) {
             ordering.paused_until = ordering.paused_until.max(until);
         }
     }
 
-    /// The first message of a key. The key is dropped if it has no message, no attempt in flight and no pause.
+    /// Returns the first message of a key. The key is removed if it has no message, no attempt in flight and
+    /// no pause.
     pub(crate) fn next(&mut self, key: &str, now: Micros) -> Option<NextInOrder> {
         let &OrderingKey { ref queue, attempts_in_flight, paused_until } = self.0.get(key)?;
         let first = queue.front().copied();
