--- a/src/sender_state/learned_state.rs
+++ b/src/sender_state/learned_state.rs
@@ -1,4 +1,5 @@
-//! What a process hands over to its successor about destinations. Waits and warm-ups bind both.
+//! Export and import of what a process hands over to its successor about destinations. Waits and warm-ups
+//! apply to both processes.
 
 use super::directory::Directory;
 use super::route::{BreakerState, Route};
@@ -60,21 +61,22 @@
 }
 
 impl Directory {
-    /// What is known about each destination, or about each route where routes are separate. The time
-    /// constants of the counts of calls and outcomes are in microseconds.
+    /// Returns what is known about each destination, or about each endpoint where routes are separate.
+    /// `call_decay` and `outcome_decay` are the time constants of the counts of calls and outcomes, in
+    /// microseconds.
     pub(crate) fn export(&self, now: Micros, call_decay: f64, outcome_decay: f64) -> Vec<LearnedState> {
         let separate_routes = |id: &DestinationId| self.destinations[id].kind.separate_routes;
         let destinations = self.destinations.iter().filter(|(id, _)| !separate_routes(id));
         let endpoints = self.endpoints.iter().filter(|(_, known)| separate_routes(&known.destination));
-        let of_destinations =
+        let destination_states =
             destinations.map(|(id, known)| known.route.export(*id, None, now, call_decay, outcome_decay));
-        let of_endpoints = endpoints.map(|(id, known)| {
+        let endpoint_states = endpoints.map(|(id, known)| {
             known.route.export(known.destination, Some(*id), now, call_decay, outcome_decay)
         });
-        of_destinations.chain(of_endpoints).collect()
+        destination_states.chain(endpoint_states).collect()
     }
 
-    /// Continues from what a predecessor had learned. Nothing is kept about what is not listed.
+    /// Applies what a predecessor had learned about a route. Unknown destinations and endpoints are ignored.
     pub(crate) fn import(&mut self, now: Micros, learned: &LearnedState) {
         let route = match learned.endpoint {
             Some(endpoint) => self.endpoints.get_mut(&endpoint).map(|known| &mut known.route),
--- a/src/sender_state/mod.rs
+++ b/src/sender_state/mod.rs
@@ -1,8 +1,7 @@
-//! What a sender keeps track of: its messages, calls, destinations and endpoints.
+//! The state of a sender: its messages, calls, destinations and endpoints.
 //!
-//! This module holds records and keeps them consistent with each other. It decides nothing:
-//! [`crate::Balancer`] does, in the decision module, which adds methods with its rules to the types of
-//! [`route`].
+//! This module holds records and keeps them consistent with each other. All decisions are made by
+//! [`crate::Balancer`] in the decision module, which adds methods with its rules to the types of [`route`].
 
 mod calls;
 mod class_results;
--- a/src/sender_state/state.rs
+++ b/src/sender_state/state.rs
@@ -14,36 +14,36 @@
 
 /// The state of one sender.
 pub(crate) struct SenderState {
-    /// State of the random numbers; never 0.
+    /// State of the random number generator; never 0.
     pub(crate) seed: u64,
     /// Destinations and endpoints.
     pub(crate) directory: Directory,
     /// Messages without a final answer.
     pub(crate) messages: MessageTable,
-    /// The messages with ordering keys.
+    /// Ordering keys and their messages.
     pub(crate) ordering_keys: OrderingKeys,
-    /// Calls in flight.
+    /// Calls in flight and their attempts.
     pub(crate) calls: CallTable,
-    /// Recent submissions of each tenant.
+    /// Recent submissions, by tenant.
     pub(crate) tenant_submissions: Vec<DecayingCounter>,
-    /// Results of the messages of each class.
+    /// Results of messages, by class.
     pub(crate) class_results: Vec<ClassResults>,
-    /// Until then the connection tables of endpoints are assumed to be full.
+    /// Until this time the connection tables of endpoints are assumed to be full.
     pub(crate) connection_tables_full_until: Micros,
-    /// Endpoints where a call ended in this turn.
+    /// Endpoints whose connections became idle in this turn because a call was answered.
     pub(crate) used_endpoints: BTreeSet<EndpointId>,
-    /// When to subscribe to the endpoint list, if that is to be done.
+    /// When to subscribe to the endpoint list, if a subscription is to be made.
     pub(crate) subscribe_at: Option<Micros>,
-    /// The endpoint list is too old, so that no attempt may be started.
+    /// Whether the endpoint list is too old, so that no attempt may be started.
     pub(crate) list_stale: bool,
-    /// Failures of the subscription in a row.
+    /// Consecutive failures of the subscription.
     pub(crate) subscription_failures: u32,
-    /// The wake-up that was requested from the host; the maximum if there is none.
+    /// The time of the wake-up that was requested from the host; `Micros::MAX` if none is pending.
     wake_at: Micros,
 }
 
 impl SenderState {
-    /// The state of a sender that knows nothing but its settings.
+    /// Creates the state of a sender that knows only its settings.
     pub(crate) fn new(settings: &Settings, seed: u64) -> Self {
         SenderState {
             seed: seed | 1,
@@ -62,14 +62,14 @@
         }
     }
 
-    /// Puts a message into its queue. Its destination is recorded even if it is not listed yet.
+    /// Puts a message into its queue. The destination of the message is added if it is not known.
     pub(crate) fn enqueue(&mut self, now: Micros, id: MessageId) {
         let destination = self.messages.enqueue(id);
         self.directory.destination_or_new(destination, now, &mut self.seed);
     }
 
-    /// Puts a message behind the others with its ordering key, and returns the key. A message without one is
-    /// put into its queue.
+    /// Puts a message behind the others with its ordering key, and returns the key. A message without an
+    /// ordering key is put into its queue.
     pub(crate) fn enqueue_in_order(&mut self, now: Micros, id: MessageId) -> Option<String> {
         let key = self.messages[id].submission.key.clone();
         match &key {
@@ -80,21 +80,21 @@
     }
 
     /// Removes a message that needs nothing more, if it is open, and returns its ordering key if it has one.
-    /// Its attempts in flight remain.
+    /// Attempts of the message that are in flight are kept.
     pub(crate) fn remove_message(&mut self, id: MessageId) -> Option<String> {
         let key = self.messages.remove(id)?.submission.key?;
         self.ordering_keys.remove(&key, id);
         Some(key)
     }
 
-    /// The first message with an ordering key, unless it is queued, delayed or in flight already.
+    /// Returns the first message of an ordering key, unless it is already queued, delayed or in flight.
     pub(crate) fn next_in_order(&mut self, now: Micros, key: &str) -> Option<NextInOrder> {
         let next = self.ordering_keys.next(key, now)?;
         (self.messages[next.id].state == MessageState::Blocked).then_some(next)
     }
 
-    /// Records an attempt that is sent. It gets the class and the ordering key of its message and the zone of its
-    /// endpoint.
+    /// Records that an attempt is sent. Its class and ordering key are set to those of the message, and its
+    /// zone to that of the endpoint.
     pub(crate) fn start_attempt(&mut self, id: MessageId, attempt: Attempt) {
         let message = self.messages.start_attempt(id);
         let ordering_key = message.submission.key.clone();
@@ -106,7 +106,7 @@
         self.calls.insert(id, message.attempts - 1, attempt);
     }
 
-    /// Records that an attempt has ended, and returns it if it was in flight.
+    /// Records that an attempt has ended, and returns the attempt if it was in flight.
     pub(crate) fn end_attempt(&mut self, id: MessageId, number: usize) -> Option<Attempt> {
         let attempt = self.calls.remove(id, number)?;
         if let Some(key) = &attempt.ordering_key {
@@ -115,7 +115,8 @@
         Some(attempt)
     }
 
-    /// Records that an attempt of an open message has failed. The message is neither queued nor delayed then.
+    /// Records that an attempt of an open message has failed. Afterwards the message is neither queued nor
+    /// delayed.
     pub(crate) fn record_failed_attempt(&mut self, attempt: &Attempt, end: &AttemptEnded) {
         let message = self.messages.get_mut(end.id).expect("the message is open");
         if !end.outcome.never_executed() && message.possible_execution.is_none() {
@@ -126,7 +127,7 @@
         message.unsent_attempts += usize::from(end.unsent);
     }
 
-    /// Records that a call has ended. If it was answered, its connection is idle now.
+    /// Records that a call has ended. The connection of an answered call becomes idle.
     pub(crate) fn end_call(&mut self, now: Micros, attempt: &Attempt, answered: bool, idle_timeout: Micros) {
         self.directory.remove_call_in_flight(attempt.route, attempt.call);
         let endpoint = self.directory.endpoint_mut(attempt.route.endpoint);
@@ -137,15 +138,15 @@
         }
     }
 
-    /// Records the attempt that a submitted message has in flight from a predecessor. Returns false if there is
-    /// none or its endpoint is not known.
+    /// Records the attempt of a submitted message that is in flight in a predecessor. Returns false if there
+    /// is none or its endpoint is not known.
     pub(crate) fn resume_attempt(&mut self, id: MessageId) -> bool {
         let Submission { class, history, .. } = &self.messages[id].submission;
         let (class, attempts, in_flight) = (*class, history.attempts, history.in_flight);
         in_flight.is_some_and(|call| self.inherit_attempt(id, attempts, class, call))
     }
 
-    /// Records an attempt of a predecessor that is in flight. Returns false if its endpoint is not known.
+    /// Records an attempt that is in flight in a predecessor. Returns false if its endpoint is not known.
     pub(crate) fn inherit_attempt(
         &mut self,
         id: MessageId,
@@ -165,15 +166,15 @@
         true
     }
 
-    /// Records that the host has delivered a wake-up.
+    /// Records that a wake-up of the host has arrived.
     pub(crate) fn record_wake(&mut self, now: Micros) {
         if now >= self.wake_at {
             self.wake_at = Micros::MAX;
         }
     }
 
-    /// The wake-up that is to be requested from the host, unless an earlier one is pending: the earliest of
-    /// the timers and `at`.
+    /// Returns the time of the wake-up to request from the host: the earliest of the timers and `at`. Returns
+    /// `None` if an earlier wake-up is pending or none is needed.
     pub(crate) fn next_wake(&mut self, now: Micros, at: Micros) -> Option<Micros> {
         let timers = [self.messages.next_timer(), self.subscribe_at];
         let at = timers.into_iter().flatten().fold(at, Micros::min).max(now + 1);
