--- a/src/simulator/host.rs
+++ b/src/simulator/host.rs
@@ -1,4 +1,4 @@
-//! Hosts the instances of a simulated fleet in one process.
+//! Runs all instances of a simulated fleet in one process.
 
 use super::instance::Instance;
 use super::request::{CatalogHeader, CatalogRow, EndpointListRequest, EventKind, EventRequest, RequestKind};
@@ -12,12 +12,12 @@
 pub(super) struct Host {
     now: Micros,
     instances: BTreeMap<u64, Instance>,
-    /// Catalogs by the number of their sheet.
+    /// Catalogs by their ids.
     catalogs: BTreeMap<u64, Vec<CatalogRow>>,
-    /// The catalog that was started last. Its `rows` is the number of rows that have not arrived yet.
+    /// The catalog that was started last. `rows` is the number of its rows that have not arrived yet.
     open_catalog: Option<CatalogHeader>,
-    /// The instances that lines of the frame have named, in the order in which they were first named. The reply has
-    /// the same order.
+    /// The instances named in the current frame, in the order of their first mention, which is also their
+    /// order in the reply.
     instances_in_frame: Vec<u64>,
 }
 
@@ -53,16 +53,16 @@
     }
 
     fn start_catalog(&mut self, header: CatalogHeader) {
-        self.catalogs.insert(header.sheet, Vec::new());
+        self.catalogs.insert(header.catalog_id, Vec::new());
         self.open_catalog = Some(header);
     }
 
     fn add_catalog_row(&mut self, fields: &Fields) -> Result<(), FieldError> {
         let Some(header) = self.open_catalog.as_mut().filter(|header| header.rows > 0) else {
-            return Err(fields.invalid("ROW", "no catalog has room for it"));
+            return Err(fields.invalid("ROW", "no catalog expects another row"));
         };
         let row = CatalogRow::parse(fields)?;
-        self.catalogs.entry(header.sheet).or_default().push(row);
+        self.catalogs.entry(header.catalog_id).or_default().push(row);
         header.rows -= 1;
         Ok(())
     }
@@ -115,21 +115,21 @@
     names: &SettingNames,
     fields: &Fields,
 ) -> Result<Event, FieldError> {
-    let entries = |sheet: u64| {
+    let entries = |catalog_id: u64| {
         let rows = catalogs
-            .get(&sheet)
-            .ok_or_else(|| fields.invalid("sheet", format!("no catalog numbered {sheet}")))?;
+            .get(&catalog_id)
+            .ok_or_else(|| fields.invalid("sheet", format!("no catalog numbered {catalog_id}")))?;
         Ok(rows.iter().map(|row| endpoint_entry(row, names)).collect())
     };
     Ok(match request {
-        EndpointListRequest::Update { sheet } => Event::ListUpdate(entries(sheet)?),
-        EndpointListRequest::Snapshot { sheet } => Event::ListSnapshot(entries(sheet)?),
+        EndpointListRequest::Update { catalog_id } => Event::ListUpdate(entries(catalog_id)?),
+        EndpointListRequest::Snapshot { catalog_id } => Event::ListSnapshot(entries(catalog_id)?),
         EndpointListRequest::WatchFailed => Event::WatchFailed,
     })
 }
 
-/// Replaces the names of the zone and the kind of a row by their indices. A name that is not in the settings gets
-/// [`UNKNOWN_INDEX`].
+/// Replaces the names of the zone and the kind of a row by their indices. A name that is not in the settings
+/// gets [`UNKNOWN_INDEX`].
 fn endpoint_entry(row: &CatalogRow, names: &SettingNames) -> EndpointEntry {
     EndpointEntry {
         endpoint: row.endpoint,
--- a/src/simulator/request.rs
+++ b/src/simulator/request.rs
@@ -1,7 +1,7 @@
 //! The requests of the simulator, parsed from the fields of a line.
 //!
-//! The names of lines and fields and the numbers of outcomes are part of the simulator's protocol. Lines and fields
-//! with unknown names are ignored, so that a newer simulator can be served.
+//! The names of lines and fields and the numbers of outcomes are part of the simulator's protocol. Lines and
+//! fields with unknown names are ignored, so that a newer simulator can be served.
 
 use crate::interface::{
     DestinationId, EndpointId, EndpointState, LoadReport, MessageHistory, MessageId, Micros, Outcome,
@@ -58,32 +58,32 @@
 /// The start of a catalog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CatalogHeader {
-    /// The number that [`EventRequest::EndpointList`] refers to the catalog by.
-    pub(super) sheet: u64,
-    /// How many rows follow.
+    /// The id by which [`EndpointListRequest`] refers to the catalog.
+    pub(super) catalog_id: u64,
+    /// Number of rows that follow.
     pub(super) rows: u64,
 }
 
 impl CatalogHeader {
     pub(super) fn parse(fields: &Fields) -> Result<Self, FieldError> {
-        Ok(CatalogHeader { sheet: fields.integer("sheet")?, rows: fields.integer("entries")? })
+        Ok(CatalogHeader { catalog_id: fields.integer("sheet")?, rows: fields.integer("entries")? })
     }
 }
 
-/// A row of a catalog. Zone and kind are names, for which each instance has its own indices.
+/// A row of a catalog. The zone and the kind are given by name, as their indices differ between instances.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct CatalogRow {
     /// The endpoint.
     pub(super) endpoint: EndpointId,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     pub(super) destination: DestinationId,
-    /// The name of its zone.
+    /// The name of the zone of the endpoint.
     pub(super) zone: String,
-    /// The name of the kind of its destination.
+    /// The name of the kind of the destination.
     pub(super) kind: String,
-    /// Whether it is in service.
+    /// The state of the endpoint.
     pub(super) state: EndpointState,
-    /// See [`crate::interface::EndpointWeights`].
+    /// The weight of the endpoint, see [`crate::interface::EndpointWeights`].
     pub(super) weight: f64,
 }
 
@@ -109,7 +109,7 @@
     }
 }
 
-/// An event for an instance. Messages are referred to by the ids that the simulator gave to them.
+/// An event for an instance. Messages are referred to by the ids that the simulator gave them.
 #[derive(Debug)]
 pub(super) enum EventRequest<'a> {
     /// A client submits a message.
@@ -122,7 +122,7 @@
     ClientDisconnected { wire_id: &'a str },
     /// A wake-up that the instance requested is due.
     Wake,
-    /// Discovery sent endpoints, or failed.
+    /// Discovery sent endpoints, or the subscription to it failed.
     EndpointList(EndpointListRequest),
 }
 
@@ -131,19 +131,19 @@
 pub(super) struct SubmitRequest<'a> {
     /// The simulator's id of the message.
     pub(super) wire_id: &'a str,
-    /// Index of its class.
+    /// Index of the class of the message.
     class: usize,
-    /// Index of its tenant.
+    /// Index of the tenant of the message, if the settings contain the tenant.
     tenant: Option<usize>,
-    /// Its ordering key.
+    /// The ordering key of the message.
     key: Option<&'a str>,
-    /// When it expires.
+    /// When the message expires.
     expires_at: Micros,
     destination: DestinationId,
 }
 
 impl SubmitRequest<'_> {
-    /// Translates the request, under the id that the instance chose.
+    /// Translates the request into a submission with the id that the instance chose.
     pub(super) fn submission(&self, id: MessageId) -> Submission {
         Submission {
             id,
@@ -164,9 +164,9 @@
     pub(super) wire_id: &'a str,
     /// Number of the attempt.
     pub(super) attempt: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub(super) outcome: Outcome,
-    /// The message is complete: it needs no further attempt and no final reply.
+    /// Whether the message is complete: it needs no further attempt and no final reply.
     pub(super) finished: bool,
     /// Time since the attempt was sent, in microseconds.
     pub(super) elapsed: Micros,
@@ -177,16 +177,16 @@
 /// An endpoint list from discovery, or the failure of the subscription.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum EndpointListRequest {
-    /// Changes, in the catalog of this number.
-    Update { sheet: u64 },
-    /// The complete list, in the catalog of this number.
-    Snapshot { sheet: u64 },
+    /// Changed entries, in the catalog with this id.
+    Update { catalog_id: u64 },
+    /// The complete list, in the catalog with this id.
+    Snapshot { catalog_id: u64 },
     /// The subscription failed.
     WatchFailed,
 }
 
 impl<'a> EventRequest<'a> {
-    /// Parses an event for an instance that was started with these names.
+    /// Parses an event for an instance whose settings contain these names.
     pub(super) fn parse(
         kind: EventKind,
         fields: &Fields<'a>,
@@ -249,13 +249,13 @@
     })
 }
 
-/// Parses the wait that comes with a rejection, in milliseconds. Fractions of a microsecond are cut off.
+/// Parses the wait of a rejection, which is in milliseconds. Fractions of a microsecond are truncated.
 fn parse_retry_after(fields: &Fields) -> Result<Option<Micros>, FieldError> {
     let wait_ms = fields.number("detail")?.filter(|wait_ms| *wait_ms > 0.0);
     Ok(wait_ms.map(|wait_ms| (wait_ms.min(MAX_ABSOLUTE_TIME_MICROS / 1e3) * 1e3) as Micros))
 }
 
-/// Parses a load report: values separated by commas, in the order that the settings name.
+/// Parses a load report: values separated by commas, in the order of the report fields in the settings.
 fn parse_report(fields: &Fields, names: &SettingNames) -> Result<Option<LoadReport>, FieldError> {
     let Some(text) = fields.get("healthInfo").filter(|text| !text.is_empty() && *text != "-") else {
         return Ok(None);
@@ -263,14 +263,14 @@
     let values = names.report_fields.iter().zip(text.split(','));
     match read_load_report(values) {
         Some(report) => Ok(Some(report)),
-        None => Err(fields.invalid("healthInfo", format!("cannot read {text:?}"))),
+        None => Err(fields.invalid("healthInfo", format!("cannot parse {text:?}"))),
     }
 }
 
 fn parse_endpoint_list(fields: &Fields) -> Result<EndpointListRequest, FieldError> {
     match fields.required("mode")? {
-        "patch" => Ok(EndpointListRequest::Update { sheet: fields.integer("sheet")? }),
-        "whole" | "stale_copy" => Ok(EndpointListRequest::Snapshot { sheet: fields.integer("sheet")? }),
+        "patch" => Ok(EndpointListRequest::Update { catalog_id: fields.integer("sheet")? }),
+        "whole" | "stale_copy" => Ok(EndpointListRequest::Snapshot { catalog_id: fields.integer("sheet")? }),
         "broken" => Ok(EndpointListRequest::WatchFailed),
         other => Err(fields.invalid("mode", format!("unknown mode {other:?}"))),
     }
