--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -10,11 +10,11 @@
 
 /// A message that a later request or action may refer to.
 struct OpenMessage {
-    /// The id that the simulator gave to it.
+    /// The id that the simulator gave the message.
     wire_id: String,
     attempts_in_flight: usize,
     attempts_sent: usize,
-    /// It needs no final reply any more.
+    /// Whether the message needs no final reply any more.
     finished: bool,
 }
 
@@ -24,8 +24,8 @@
     names: SettingNames,
     /// Ids of the open messages, by their ids in the simulator.
     message_ids: HashMap<String, MessageId>,
-    /// The same messages by their own ids. If the simulator used an id twice, `message_ids` contains only the
-    /// later message.
+    /// Open messages by their ids. If the simulator used one of its ids twice, `message_ids` contains only
+    /// the later message.
     open_messages: BTreeMap<MessageId, OpenMessage>,
     next_message_id: MessageId,
     /// Actions that have not been written to a reply yet.
@@ -47,7 +47,7 @@
         })
     }
 
-    /// Returns the names that requests use in place of indices.
+    /// Returns the names that requests use instead of indices.
     pub(super) fn names(&self) -> &SettingNames {
         &self.names
     }
@@ -73,16 +73,16 @@
         self.handle(now, Event::Submit(request.submission(id)));
     }
 
-    /// Passes on that a streamed response has begun. Unknown messages are ignored.
+    /// Passes the start of a streamed response to the decision module. Unknown messages are ignored.
     pub(super) fn response_started(&mut self, now: Micros, wire_id: &str) {
         if let Some(id) = self.message_ids.get(wire_id).copied() {
             self.handle(now, Event::ResponseStarted { id });
         }
     }
 
-    /// Passes on the end of an attempt. Unknown messages are ignored.
+    /// Passes the end of an attempt to the decision module. Unknown messages are ignored.
     ///
-    /// Returns an error, for the line of `fields`, if the attempt was never sent.
+    /// Returns an error that names the line of `fields` if the attempt was never sent.
     pub(super) fn attempt_ended(
         &mut self,
         now: Micros,
@@ -107,16 +107,16 @@
             retry_after: None,
         });
         self.handle(now, event);
-        self.remove_if_unanswered(id);
+        self.remove_unless_action_pending(id);
         Ok(())
     }
 
-    /// Passes on that a client has disconnected. Unknown messages are ignored.
+    /// Passes the disconnection of a client to the decision module. Unknown messages are ignored.
     pub(super) fn client_disconnected(&mut self, now: Micros, wire_id: &str) {
         let Some((id, message)) = self.open_message(wire_id) else { return };
         message.finished = true;
         self.handle(now, Event::ClientDisconnected { id });
-        self.remove_if_unanswered(id);
+        self.remove_unless_action_pending(id);
     }
 
     /// Writes the actions of this turn, one a line.
@@ -153,16 +153,16 @@
         self.remove_if_complete(id);
     }
 
-    /// Removes a complete message, unless an action of this turn is about it: the reply needs its id, and
-    /// `write_actions` removes the message later.
-    fn remove_if_unanswered(&mut self, id: MessageId) {
-        let is_answered = self.actions.iter().any(|action| match action {
+    /// Removes a complete message, unless an action of this turn is about it. The reply needs the wire id of
+    /// such a message, and `write_actions` removes the message later.
+    fn remove_unless_action_pending(&mut self, id: MessageId) {
+        let has_pending_action = self.actions.iter().any(|action| match action {
             Action::Send { id: other, .. }
             | Action::Reject { id: other, .. }
             | Action::Fail { id: other } => *other == id,
             _ => false,
         });
-        if !is_answered {
+        if !has_pending_action {
             self.remove_if_complete(id);
         }
     }
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,8 +1,8 @@
-//! The simulator adapter: runs the decision module for the instances of a simulated fleet.
+//! The simulator adapter, which runs the decision module for the instances of a simulated fleet.
 //!
-//! The simulator writes requests in frames, one request per line, and reads a reply to each frame. This module
-//! parses the requests, translates them to [`crate::interface`] and writes the resulting actions. No decision
-//! is made here.
+//! The simulator writes requests in frames, one request per line, and reads a reply to each frame. This
+//! module parses the requests, translates them to [`crate::interface`] and writes the resulting actions. It
+//! makes no decisions.
 
 mod host;
 mod instance;
@@ -15,9 +15,9 @@
 use std::io::{self, BufRead, Write};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 
-/// Opens a frame and sets the time.
+/// The line that opens a frame and sets the time.
 const FRAME_START: &str = "FRAME";
-/// Closes a frame and asks for the reply.
+/// The line that closes a frame and asks for the reply.
 const FRAME_END: &str = "OVER_TO_YOU";
 /// The last line of each reply, with its line break.
 const REPLY_END: &str = "OK\n";
@@ -32,7 +32,7 @@
     #[error(transparent)]
     Io(#[from] io::Error),
     /// The decision module panicked. The simulator has received an `INTERNAL_ERROR`.
-    #[error("the decision code panicked")]
+    #[error("the decision module panicked")]
     Panicked,
 }
 
@@ -55,7 +55,8 @@
     host: Host,
     output: W,
     in_frame: bool,
-    /// The instance that the last line named; reported if a panic cannot be attributed otherwise.
+    /// The instance that the latest line with a `forwarder` field named. A panic in a line without this field
+    /// is attributed to it.
     last_instance: u64,
 }
 
@@ -68,15 +69,17 @@
         let fields = Fields::parse(line_number, rest)?;
         match name {
             FRAME_START => Ok(self.begin_frame(&fields)?),
-            _ if !self.in_frame => Err(fields.invalid(name, "outside a batch").into()),
+            _ if !self.in_frame => Err(fields.invalid(name, "outside a frame").into()),
             FRAME_END => self.end_frame(&fields),
-            _ => self.run(&fields, |host| host.handle(name, &fields))?.map_err(ServeError::from),
+            _ => self
+                .run_catching_panics(&fields, |host| host.handle(name, &fields))?
+                .map_err(ServeError::from),
         }
     }
 
     fn begin_frame(&mut self, fields: &Fields) -> Result<(), FieldError> {
         if self.in_frame {
-            return Err(fields.invalid(FRAME_START, "the last batch has not been closed"));
+            return Err(fields.invalid(FRAME_START, "the previous frame has not been closed"));
         }
         self.host.set_time(fields.required_time("time")?);
         self.in_frame = true;
@@ -84,7 +87,7 @@
     }
 
     fn end_frame(&mut self, fields: &Fields) -> Result<(), ServeError> {
-        let mut reply = self.run(fields, Host::reply)?;
+        let mut reply = self.run_catching_panics(fields, Host::reply)?;
         reply.push_str(REPLY_END);
         self.output.write_all(reply.as_bytes())?;
         self.output.flush()?;
@@ -92,8 +95,12 @@
         Ok(())
     }
 
-    /// Runs a step that may call the decision module. A panic there is reported to the simulator.
-    fn run<T>(&mut self, fields: &Fields, step: impl FnOnce(&mut Host) -> T) -> Result<T, ServeError> {
+    /// Runs a step that may call the decision module. A panic in the step is reported to the simulator.
+    fn run_catching_panics<T>(
+        &mut self,
+        fields: &Fields,
+        step: impl FnOnce(&mut Host) -> T,
+    ) -> Result<T, ServeError> {
         let result = catch_unwind(AssertUnwindSafe(|| step(&mut self.host)));
         let instance = fields.integer("forwarder").unwrap_or(self.last_instance);
         match result {
--- a/src/simulator/reply.rs
+++ b/src/simulator/reply.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// Returns `None` for an action that the simulator has no line for.
+/// Returns the line for an action, or `None` if the protocol of the simulator has no line for it.
 fn action_line(instance: u64, action: &Action, wire_id: &str) -> Option<String> {
     Some(match action {
         Action::Send { endpoint, timeout, .. } => {
@@ -30,7 +30,7 @@
             format!("SET_ALARM forwarder={instance} time={} handle=0", milliseconds(*at))
         }
         Action::Subscribe => format!("SUBSCRIBE forwarder={instance} want=1"),
-        // Only operators of the real forwarder drain a process.
+        // Results only from a drain, which the simulator has no request for.
         Action::AcceptClients(_) => return None,
     })
 }
