--- a/src/key_value.rs
+++ b/src/key_value.rs
@@ -3,12 +3,12 @@
 use crate::interface::Micros;
 use std::str::FromStr;
 
-/// Bound on the absolute value of parsed times, in microseconds. It is so low that the sum of a few times cannot
-/// overflow.
+/// Bound on the absolute value of parsed times, in microseconds. It is low enough that the sum of a few times
+/// does not overflow.
 pub(crate) const MAX_ABSOLUTE_TIME_MICROS: f64 = (1i64 << 55) as f64;
 
-/// A field that cannot be parsed. The message names the line if the field was read from one, the field and the
-/// problem.
+/// An error about a field. The message names the field, the problem, and the line that the field was read
+/// from, if any.
 #[derive(Debug, thiserror::Error)]
 #[error("{}field {field}: {problem}", line_prefix(*line))]
 pub struct FieldError {
@@ -23,8 +23,8 @@
 
 /// Fields with names and values. If several fields have the same name, the first one is used.
 pub(crate) struct Fields<'a> {
-    /// The number of the line that the fields were read from, for error messages. `None` for fields from the
-    /// configuration file.
+    /// The number of the line that the fields were read from, for error messages. `None` if the fields do not
+    /// come from a line.
     line: Option<u64>,
     /// Names and values.
     pairs: Vec<(&'a str, &'a str)>,
@@ -101,7 +101,7 @@
         match self.get(name) {
             None | Some("0" | "false") => Ok(false),
             Some("1" | "true") => Ok(true),
-            Some(value) => Err(self.invalid(name, format!("cannot read {value:?} as a bool"))),
+            Some(value) => Err(self.invalid(name, format!("expected true, false, 1 or 0, found {value:?}"))),
         }
     }
 
@@ -109,7 +109,7 @@
         let Some(value) = self.get(name) else { return Ok(None) };
         match value.parse() {
             Ok(parsed) => Ok(Some(parsed)),
-            Err(_) => Err(self.invalid(name, format!("cannot read {value:?}"))),
+            Err(_) => Err(self.invalid(name, format!("cannot parse {value:?}"))),
         }
     }
 }
--- a/src/settings_reader.rs
+++ b/src/settings_reader.rs
@@ -1,6 +1,7 @@
 //! Parses the settings of a sender, and the load reports of endpoints, from `name=value` fields.
 //!
-//! The names of the fields are part of the configuration file and of the simulator's protocol, and must not change.
+//! The names of the fields are part of the configuration file and of the simulator's protocol, and must not
+//! change.
 
 use crate::interface::{
     Class, DestinationKind, EndpointWeights, Idempotency, LoadReport, Micros, Settings, Tenant, WeightDecay,
@@ -11,10 +12,12 @@
 /// Name of the value in a load report that holds the rate limit, in calls per second.
 const RATE_LIMIT_FIELD: &str = "x1";
 
-/// The index of a name that the settings do not contain. No list is long enough to have an element with this index.
+/// The index of a name that the settings do not contain. No list is long enough to have an element with this
+/// index.
 pub(crate) const UNKNOWN_INDEX: usize = usize::MAX;
 
-/// Names of one sort, for example of classes. The interface refers to each name by its index in this list.
+/// Names from the settings, for example those of the classes. [`crate::interface`] uses the indices of the
+/// names.
 #[derive(Clone, Default)]
 pub(crate) struct NameList(Vec<String>);
 
@@ -82,8 +85,8 @@
     read_settings(&Fields::from_pairs(pairs))
 }
 
-/// Reads a load report from names and values. Values with unknown names are ignored, but they must be numbers, too:
-/// returns `None` if a value is not a finite number.
+/// Reads a load report from names and values, or returns `None` if a value is not a finite number. Values
+/// with unknown names are checked but not used.
 pub(crate) fn read_load_report<'a>(values: impl Iterator<Item = (&'a str, &'a str)>) -> Option<LoadReport> {
     let mut report = LoadReport { limit: None };
     for (name, value) in values {
@@ -96,14 +99,14 @@
     Some(report)
 }
 
-/// Reads settings by their path. The path of an element of a list contains its index, as in `classes.0.name`.
+/// Reads settings by their paths. The path of a list element contains its index, as in `classes.0.name`.
 struct SettingsReader<'a> {
     /// The paths and values.
     fields: &'a Fields<'a>,
 }
 
 impl<'a> SettingsReader<'a> {
-    /// Reads values that are separated by commas; none if the setting is absent.
+    /// Reads values that are separated by commas. An absent setting has no values.
     fn list(&self, name: &str) -> Vec<&'a str> {
         let items = self.fields.get(name).unwrap_or_default().split(',');
         items.filter(|item| !item.is_empty()).collect()
@@ -118,10 +121,10 @@
             .iter()
             .map(|item| item.parse::<f64>().ok().filter(|number| number.is_finite()))
             .collect::<Option<_>>()
-            .ok_or_else(|| self.fields.invalid(name, "expected numbers set apart by commas"))
+            .ok_or_else(|| self.fields.invalid(name, "expected numbers separated by commas"))
     }
 
-    /// Reads a time; zero if it is absent.
+    /// Reads a time, which is 0 if the setting is absent.
     fn time(&self, name: &str) -> Result<Micros, FieldError> {
         Ok(self.fields.time(name)?.unwrap_or(0))
     }
@@ -215,7 +218,7 @@
             let per_zone = read_key_scope(fields, &path("dedupScope"))?;
             Ok(Idempotency::Keyed { key_lifetime: reader.time(&path("keyTtl"))?, per_zone })
         }
-        other => Err(fields.invalid(&path("idempotency"), format!("unknown kind {other:?}"))),
+        other => Err(fields.invalid(&path("idempotency"), format!("unknown idempotency {other:?}"))),
     }
 }
 
@@ -241,7 +244,8 @@
     Ok(named_tenants.into_iter().unzip())
 }
 
-/// Reads the kinds of destinations. Each setting is a list with one value for each kind, in the order of the names.
+/// Reads the kinds of destinations. Each setting is a list with one value per kind, in the order of their
+/// names.
 fn read_kinds(reader: &SettingsReader, count: usize) -> Result<Vec<DestinationKind>, FieldError> {
     let separate_routes = reader.list("familyInfo.kindApart");
     let batch = reader.numbers("familyInfo.batchByKind")?;
