--- a/src/bin/forwarder.rs
+++ b/src/bin/forwarder.rs
@@ -15,10 +15,10 @@
 }
 
 fn run_until_done() -> Result<(), Box<dyn Error>> {
-    // Adopted first: no other descriptor may be opened before that could take its number.
+    // Must come first: a descriptor that is opened earlier could have the number of the inherited socket.
     let listener = inherited_listener()?;
     let config = Config::from_env()?;
-    // The forwarder is given one core: more threads would only add overhead.
+    // The forwarder has one core, so that more threads would only add overhead.
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(run(config, listener))?;
     Ok(())
