--- a/src/forwarder/runtime/final_answers.rs
+++ b/src/forwarder/runtime/final_replies.rs
@@ -1,4 +1,4 @@
-//! Final answers of the decision module to messages that were not delivered.
+//! Final replies to messages that are not delivered: by a reply to the client or by a notice.
 
 use super::Runtime;
 use super::call_in_flight::AttemptCommand;
@@ -12,69 +12,71 @@
 use crate::interface::{MessageId, Micros};
 use std::time::Duration;
 
-/// How a message ended that was not delivered.
+/// The final reply to a message that is not delivered.
 #[derive(Clone, Copy)]
-pub(super) enum FinalAnswer {
-    /// It was not executed; submitting it again does no harm.
+pub(super) enum FinalReply {
+    /// The message was not executed; submitting it again does no harm.
     Rejected {
-        /// How long the client should wait before it does so.
+        /// How long the client should wait before it submits the message again; `None` if no wait is
+        /// suggested.
         retry_after: Option<Duration>,
     },
-    /// Given up; it may have been executed.
+    /// The message failed, and it may have been executed.
     Failed,
 }
 
-impl FinalAnswer {
-    /// A rejection with a Retry-After, unless that is not positive.
+impl FinalReply {
+    /// A rejection, with a Retry-After if `retry_after` is positive.
     pub(super) fn rejected(retry_after: Micros) -> Self {
         let micros = u64::try_from(retry_after).ok().filter(|micros| *micros > 0);
-        FinalAnswer::Rejected { retry_after: micros.map(Duration::from_micros) }
+        FinalReply::Rejected { retry_after: micros.map(Duration::from_micros) }
     }
 
     fn drop_reason(self) -> DropReason {
         match self {
-            FinalAnswer::Rejected { .. } => DropReason::Rejected,
-            FinalAnswer::Failed => DropReason::Failed,
+            FinalReply::Rejected { .. } => DropReason::Rejected,
+            FinalReply::Failed => DropReason::Failed,
         }
     }
 
     fn client_reply(self) -> ClientReply {
         match self {
-            FinalAnswer::Rejected { retry_after } => ClientReply::Rejected(retry_after),
-            FinalAnswer::Failed => ClientReply::Failed,
+            FinalReply::Rejected { retry_after } => ClientReply::Rejected(retry_after),
+            FinalReply::Failed => ClientReply::Failed,
         }
     }
 
     fn notice_outcome(self) -> NoticeOutcome {
         match self {
-            FinalAnswer::Rejected { retry_after } => {
+            FinalReply::Rejected { retry_after } => {
                 NoticeOutcome::Rejected { retry_in_ms: retry_after.map(milliseconds_rounded_up) }
             }
-            FinalAnswer::Failed => NoticeOutcome::Failed,
+            FinalReply::Failed => NoticeOutcome::Failed,
         }
     }
 }
 
-/// Rounded up, so that a client never submits its message too early.
+/// Rounds up, so that a client never submits its message too early.
 fn milliseconds_rounded_up(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros().div_ceil(MICROS_PER_MILLISECOND as u128)).unwrap_or(u64::MAX)
 }
 
 impl Runtime {
-    /// Ends a message that is not delivered: by a reply if it is not accepted yet, otherwise by a notice.
-    pub(super) fn give_up(&mut self, id: MessageId, answer: FinalAnswer) {
+    /// Ends a message that is not delivered: with a notice if the message was accepted, with a reply
+    /// otherwise.
+    pub(super) fn end_message(&mut self, id: MessageId, final_reply: FinalReply) {
         let Some(mut message) = self.messages.remove(id) else { return };
         if let Some(attempt) = message.last_attempt() {
             self.command_attempt(AttemptKey { id, attempt }, AttemptCommand::Abandon);
         }
-        self.metrics.record_dropped(answer.drop_reason());
+        self.metrics.record_dropped(final_reply.drop_reason());
         if message.recovered_without_attempt && message.attempts == 0 {
             self.metrics.record_dropped(DropReason::NeverAttempted);
         }
         if message.accepted {
-            self.queue_notice(message, answer.notice_outcome());
+            self.queue_notice(message, final_reply.notice_outcome());
         } else {
-            message.reply(answer.client_reply());
+            message.reply(final_reply.client_reply());
         }
     }
 
--- a/src/forwarder/runtime/mod.rs
+++ b/src/forwarder/runtime/mod.rs
@@ -1,8 +1,8 @@
-//! The runtime: it owns the decision module, the messages and the journal, executes what the module decides and
-//! reports the results to it. It makes no decisions of its own.
+//! The runtime: owns the decision module, the open messages and the journal. It passes events to the decision
+//! module, executes the actions that the module returns, and makes no decisions of its own.
 //!
-//! Events are collected and handled in turns ([`turn`]). After an upgrade, events are forwarded to the process that
-//! has taken over ([`handover`]).
+//! Events are collected and handled in turns ([`turn`]). After an upgrade, events are forwarded to the
+//! process that has taken over ([`handover`]).
 
 mod admin;
 mod call_commands;
@@ -14,7 +14,7 @@
 mod decisions;
 mod endpoint_list;
 mod endpoints;
-mod final_answers;
+mod final_replies;
 mod handover;
 mod idle_connections;
 mod log;
@@ -59,34 +59,34 @@
 const MIN_TURN_INTERVAL_MICROS: Micros = 1000;
 /// Upper bound of the time between two turns.
 const MAX_TURN_INTERVAL: Duration = Duration::from_secs(1);
-/// Upper bound of the time between two turns during a shutdown or an upgrade, whose progress depends on time.
+/// Upper bound of the time between two turns during a shutdown or an upgrade, whose steps have time limits.
 const MAX_TURN_INTERVAL_WHILE_ENDING: Duration = Duration::from_millis(20);
 /// Upper bound of the time between two turns while the journal has records that could not be written.
 const MAX_TURN_INTERVAL_WHILE_UNWRITTEN: Duration = Duration::from_millis(WRITE_RETRY_DELAY_MS);
 
-/// The time for the last replies to clients, once the process ends although clients are connected.
+/// How long writing the last replies may take when the process ends while clients are still connected.
 const FINAL_REPLY_TIMEOUT: Duration = Duration::from_millis(30);
 
 /// What connects the runtime to the other parts of the program.
 pub(crate) struct RuntimeChannels {
-    /// Idle connections to endpoints that may be kept.
+    /// Maximum number of idle connections to endpoints.
     pub(crate) max_idle_connections: usize,
-    /// Batches for the notice sender, which holds the receiver. The bound is one batch.
+    /// Batches for the notice sender, which holds the receiver. The capacity of the channel is one batch.
     pub(crate) notices: Sender<Vec<Notice>>,
-    /// Events for the runtime itself, from the calls that it starts. The bound is that of the event queue.
+    /// The bounded event queue of the runtime itself, for the calls that it starts.
     pub(crate) events: Sender<RuntimeEvent>,
     /// Shared with the server, which counts the connections of this process.
     pub(crate) connection_counts: Arc<ConnectionCounts>,
 }
 
-/// Connects the owners of the forwarder's state.
+/// The state of the forwarder, and the event loop that changes it.
 pub(crate) struct Runtime {
     settings: Settings,
     names: SettingNames,
     clock: Clock,
     /// For times that are stored in the journal.
     unix_clock: UnixClock,
-    /// Lets the next process continue the times of this one.
+    /// The Unix time of the journal, stored so that the next process continues it.
     timeline: Timeline<KernelClocks>,
     decisions: Decisions,
     /// Shared with the calls in flight, which journal their attempts right before they are written.
@@ -94,9 +94,9 @@
     messages: OpenMessages,
     calls: CallsInFlight,
     endpoints: Endpoints,
-    /// For the next process.
+    /// The endpoints taken out of service, stored for the next process.
     departed: DepartedEndpoints,
-    /// Whether the list may be acted on.
+    /// Whether the endpoint list is recent enough to start calls.
     list_age: ListAge,
     idle_connections: IdleConnectionPool,
     notices: NoticeQueue,
@@ -110,14 +110,14 @@
     tasks_of_owner: Vec<AbortHandle>,
     /// Shared with the server, which counts the connections of this process.
     connection_counts: Arc<ConnectionCounts>,
-    /// For the calls that are started; the bound is that of the event queue.
+    /// The bounded event queue of this runtime, for the calls that it starts.
     events: Sender<RuntimeEvent>,
     metrics: IntervalMetrics,
 }
 
 impl Runtime {
-    /// Recovers every open message of the state folder, together with the state that a live predecessor has handed
-    /// over. Returns the list as well that it starts with.
+    /// Recovers every open message of the state folder and the state that a live predecessor has handed over.
+    /// Also returns the endpoint list that the runtime starts with.
     pub(crate) async fn start(
         config: &Config,
         channels: RuntimeChannels,
@@ -125,7 +125,8 @@
     ) -> (Self, InitialList) {
         let StateFolder { is_new, ownership, owned_since, timeline, journal, open_messages } = state_folder;
         let inherited = match ownership.predecessor {
-            // If it ended right after the hand-over, its calls ended with it, and the journal contains them.
+            // If the predecessor ended right after the handover, its calls ended too, and the journal
+            // contains them.
             Some(predecessor) => predecessor.confirm_ownership(channels.events.clone()).await.ok(),
             None => None,
         };
@@ -139,7 +140,7 @@
             runtime.apply_endpoint_list(now, &known);
         }
         let origin = list_origin(handoff.as_ref(), is_new);
-        // A service that has started again may count the revision of an older list for another one.
+        // A restarted discovery service may use the revision of an older list again for a different list.
         let known = config.known_endpoints.as_ref();
         let is_outdated = handoff.is_none() && known.is_some_and(|known| runtime.departed.is_older(known));
         runtime.recover(now, open_messages, handoff);
@@ -187,19 +188,19 @@
         }
     }
 
-    /// Saves the times of the journal for the next process. Called once the socket for successors is created, which
-    /// the next process compares.
+    /// Saves the timeline of the journal for the next process. Call it after the socket for successors is
+    /// created: the saved timeline identifies that socket, and the next process checks it.
     pub(crate) fn save_timeline(&mut self) {
         self.timeline.save();
     }
 
-    /// Aborts this task once a successor owns the messages.
+    /// Registers a task to be aborted once a successor owns the messages.
     pub(crate) fn abort_after_handover(&mut self, task: AbortHandle) {
         self.tasks_of_owner.push(task);
     }
 
-    /// Takes turns until the process may end, and publishes its phase. `events` is the receiver of the event
-    /// queue; `server` ends once no client is connected.
+    /// Takes turns until the process may end, and publishes the lifecycle phase. `events` is the receiver of
+    /// the event queue; `server` ends once no client is connected.
     pub(crate) async fn run(
         mut self,
         mut events: Receiver<RuntimeEvent>,
@@ -215,7 +216,7 @@
             self.publish_phase(&phase);
             if self.is_complete(server.is_finished()) {
                 self.log_end();
-                // What is left in the queue is rejected.
+                // Dropping the queue rejects the requests that are left in it.
                 drop(events);
                 self.successor.drop_deferred_events();
                 finish_replies(server).await;
@@ -246,7 +247,7 @@
         Duration::from_micros(self.settings.min_turn_interval.max(MIN_TURN_INTERVAL_MICROS) as u64)
     }
 
-    /// When the next turn is due, should no event arrive before.
+    /// When the next turn is due if no event arrives earlier.
     fn next_turn_at(&self) -> Instant {
         let now = Instant::now();
         let latest = now + self.max_turn_interval();
@@ -299,7 +300,8 @@
     }
 }
 
-/// Where the first list comes from. What a predecessor did not act on any more, its successor must not act on either.
+/// Where the first endpoint list comes from. A list that was stale in the predecessor must not be treated as
+/// fresh, so it counts as one from the configuration.
 fn list_origin(handoff: Option<&HandoffState>, is_new: bool) -> ListOrigin {
     match handoff {
         Some(handoff) if handoff.list_is_fresh => ListOrigin::Predecessor,
@@ -308,7 +310,7 @@
     }
 }
 
-/// Gives the server time to write the replies that are ready, and ends it.
+/// Gives the server time to write the replies that are ready, then aborts it.
 async fn finish_replies(mut server: JoinHandle<()>) {
     let _ = timeout(FINAL_REPLY_TIMEOUT, &mut server).await;
     server.abort();
--- a/src/forwarder/runtime/recovery.rs
+++ b/src/forwarder/runtime/recovery.rs
@@ -1,9 +1,10 @@
-//! Recovers the messages of an earlier process from the journal, and what a predecessor has handed over.
+//! Recovers the messages of an earlier process from the journal, and the state that a predecessor has handed
+//! over.
 
 use super::Runtime;
 use super::client_requests::SubmissionDetails;
 use super::clock::{Clock, MICROS_PER_MILLISECOND};
-use super::final_answers::FinalAnswer;
+use super::final_replies::FinalReply;
 use super::handover::InheritedAttempts;
 use super::open_messages::OpenMessage;
 use crate::forwarder::clock::{SystemClocks, Timeline};
@@ -14,12 +15,12 @@
 use crate::interface::{Event, MessageHistory, Micros, PossibleExecution};
 use crate::settings_reader::NameList;
 
-/// Assumed age of an attempt whose time is unknown, in microseconds. It exceeds the time for which any destination
-/// remembers an idempotency key.
+/// Assumed age of an attempt whose time is unknown. It exceeds the time for which any destination remembers
+/// an idempotency key.
 const UNKNOWN_ATTEMPT_AGE_MICROS: Micros = 1 << 55;
 
-/// An attempt that the journal dates later than this after the present was recorded by a process whose clock
-/// differs, so that its age is unknown. Allows for the inaccuracy of reading two clocks.
+/// If the recorded time of an attempt is further in the future than this, the attempt was recorded by a
+/// process with a different clock, and its age is unknown. Smaller differences come from reading two clocks.
 const MAX_CLOCK_DEVIATION_MICROS: Micros = 100 * MICROS_PER_MILLISECOND;
 
 /// Converts the Unix times of the journal to the clock of this process.
@@ -27,12 +28,12 @@
 struct RecoveredTimes {
     now: Micros,
     now_unix_ms: u64,
-    /// The times of the journal may be too late by this.
+    /// The times in the journal may be too late by up to this, because the wall clock was set back.
     possible_step_back: Micros,
 }
 
 impl RecoveredTimes {
-    /// `now` is the present time on both clocks.
+    /// `now` is the current time on `clock`.
     fn new(now: Micros, clock: &Clock, timeline: &Timeline<impl SystemClocks>) -> Self {
         RecoveredTimes {
             now,
@@ -47,8 +48,8 @@
         self.now.saturating_add(from_now_ms.saturating_mul(MICROS_PER_MILLISECOND))
     }
 
-    /// When an attempt was sent, at the earliest. A later time would extend the time for which its destination is
-    /// assumed to remember the idempotency key.
+    /// The earliest time at which an attempt may have been sent. A later one would extend the time for which
+    /// the destination is assumed to remember the idempotency key.
     fn sent_at(self, unix_ms: u64) -> Micros {
         let sent_at = self.to_micros(unix_ms);
         if sent_at > self.now.saturating_add(MAX_CLOCK_DEVIATION_MICROS) {
@@ -59,7 +60,7 @@
 }
 
 impl Runtime {
-    /// Restores the state of the journal and that of the predecessor.
+    /// Restores the open messages of the journal and the state of the predecessor.
     pub(super) fn recover(
         &mut self,
         now: Micros,
@@ -90,7 +91,7 @@
             return self.notices.push(Notice { message: content.id, outcome }, expires_at);
         }
         let in_flight = inherited.take_last(&content.id, attempts.len());
-        // Whether the attempt in flight was executed is reported when it ends.
+        // The attempt in flight is not among the ended ones: its end reports whether it was executed.
         let ended = &attempts[..attempts.len() - usize::from(in_flight.is_some())];
         let history = MessageHistory {
             accepted: true,
@@ -111,8 +112,8 @@
         let (client_id, destination, expires_at) = (client_id.clone(), *destination, message.expires_at);
         let id = self.messages.insert(message);
         let Some(class) = class else {
-            // The settings no longer contain its class: nothing is known about the effect of an attempt.
-            return self.give_up(id, FinalAnswer::Failed);
+            // The settings no longer contain the message's class, so the effect of an attempt is unknown.
+            return self.end_message(id, FinalReply::Failed);
         };
         let details = SubmissionDetails { class, tenant, destination, expires_at, history };
         self.notify_submission(now, id, details);
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Tracks attempts whose messages are complete: their calls still occupy call slots.
+    /// Tracks the inherited attempts whose messages are complete: their calls still occupy call slots.
     fn track_attempts_of_complete_messages(&mut self, now: Micros, inherited: InheritedAttempts) {
         for (AttemptRef { message, attempt }, call) in inherited.into_remaining() {
             let id = self.messages.assign_number();
@@ -132,8 +133,8 @@
     }
 }
 
-/// The first one of these attempts that may have been executed. Where records of a message are damaged, any attempt
-/// at any time may be missing.
+/// The first of the attempts that may have been executed. If records of the message may be lost (`in_doubt`),
+/// that is an attempt of unknown age and zone.
 fn possible_execution(
     attempts: &[RecoveredAttempt],
     in_doubt: bool,
@@ -155,7 +156,10 @@
     let without_attempt =
         |message: &&RecoveredMessage| message.pending_notice.is_none() && message.attempts.is_empty();
     let never_attempted = recovered.iter().filter(without_attempt).count();
-    eprintln!("journal: {} messages open, {never_attempted} of them never attempted", recovered.len());
+    eprintln!(
+        "journal: recovered, {} messages open, {never_attempted} of them never attempted",
+        recovered.len()
+    );
 }
 
 #[cfg(test)]
--- a/src/forwarder/runtime/recovery/tests.rs
+++ b/src/forwarder/runtime/recovery/tests.rs
@@ -1,4 +1,4 @@
-//! A journal that was written before a step of the wall clock, recovered after it.
+//! Recovery from a journal that was written before a step of the wall clock.
 
 use super::*;
 use crate::forwarder::clock::tests::{Machine, STEPS};
@@ -6,15 +6,15 @@
 use crate::forwarder::journal::{FinalOutcome, Journal, Record};
 use std::time::Duration;
 
-/// Upper bound of the journals, in bytes.
-const MAX_BYTES: u64 = 3 << 20;
-/// Longer than a journal that is compacted.
+/// Maximum size of the journals.
+const MAX_JOURNAL_BYTES: u64 = 3 << 20;
+/// A journal is compacted before it reaches this size.
 const COMPACTED_BYTES: usize = 1 << 20;
-/// Bytes of a body.
+/// Size of the body of a message.
 const BODY_BYTES: usize = 1000;
 const MICROS_PER_SECOND: Micros = 1000 * MICROS_PER_MILLISECOND;
 
-/// A process with its journal and what it has recovered.
+/// A process with its journal and the messages that it has recovered.
 struct Process<'a> {
     timeline: Timeline<&'a Machine>,
     clock: UnixClock,
@@ -27,8 +27,8 @@
         let mut timeline = machine.start_process();
         timeline.save();
         let clock = timeline.clock();
-        let (journal, recovered) =
-            Journal::open(&machine.folder, MAX_BYTES, clock.now_unix_ms()).expect("the journal opens");
+        let (journal, recovered) = Journal::open(&machine.folder, MAX_JOURNAL_BYTES, clock.now_unix_ms())
+            .expect("the journal opens");
         Process { timeline, clock, journal, recovered }
     }
 
@@ -55,7 +55,7 @@
         self.commit(Record::completed(id.to_owned(), FinalOutcome::Delivered, until));
     }
 
-    /// The clocks of the recovery, which takes place now.
+    /// The clocks of a recovery that takes place now.
     fn times(&self) -> RecoveredTimes {
         RecoveredTimes::new(0, &Clock::start(), &self.timeline)
     }
@@ -81,7 +81,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn outcomes_are_remembered_as_long_as_promised_after_a_step_and_a_compaction() {
+async fn outcomes_are_remembered_until_their_time_ends_after_a_step_and_a_compaction() {
     for step in STEPS {
         let machine = Machine::new();
         let mut first = Process::start(&machine);
@@ -109,13 +109,15 @@
     }
 }
 
-/// The attempt may have been recorded before the step or after it.
+/// An earlier version records wall-clock times, so that the attempt may have been recorded before the step or
+/// after it. A younger age than the true one would extend the time for which an idempotency key is assumed to
+/// be remembered.
 #[tokio::test(start_paused = true)]
-async fn an_attempt_recorded_by_an_earlier_version_is_not_taken_for_younger_than_it_may_be() {
+async fn an_attempt_recorded_by_an_earlier_version_is_not_considered_younger_than_it_may_be() {
     for step in STEPS {
         let machine = Machine::new();
         drop(Process::start(&machine));
-        // The earlier version writes the wall clock to the journal, and knows no timeline.
+        // The earlier version writes wall-clock times to the journal and does not use the timeline.
         machine.create_owner_socket();
         let mut earlier_version = Process::start(&machine);
         earlier_version.accept("m");
@@ -137,7 +139,7 @@
 }
 
 #[test]
-fn an_attempt_of_the_future_is_one_of_unknown_age() {
+fn an_attempt_recorded_in_the_future_has_an_unknown_age() {
     let times = RecoveredTimes { now: 0, now_unix_ms: 1_800_000_000_000, possible_step_back: 0 };
     assert_eq!(times.sent_at(times.now_unix_ms - 5000), -5 * MICROS_PER_SECOND);
     assert_eq!(times.sent_at(times.now_unix_ms + 50), 0);
--- a/src/forwarder/runtime/turn.rs
+++ b/src/forwarder/runtime/turn.rs
@@ -1,8 +1,8 @@
-//! The steps of a turn, in which this process owns the messages.
+//! The steps of a turn. Turns are taken only while this process owns the messages.
 
 use super::Runtime;
 use super::call_in_flight::AttemptCommand;
-use super::final_answers::FinalAnswer;
+use super::final_replies::FinalReply;
 use super::handover::Successor;
 use super::outbound_calls::PlannedAttempt;
 use crate::forwarder::event::RuntimeEvent;
@@ -12,16 +12,16 @@
 use crate::forwarder::metrics::DropReason;
 use crate::interface::{Action, Event, MessageId, Micros};
 
-/// Messages that the commit of a turn accepts.
+/// The messages that the commit of a turn is to accept.
 #[derive(Default)]
-struct Acceptance {
+struct SelectedMessages {
     ids: Vec<MessageId>,
     records: Vec<Record>,
     body_bytes: usize,
 }
 
 impl Runtime {
-    /// Handles the events of a turn, lets the module decide and executes its decisions.
+    /// Handles the events of a turn, then lets the decision module decide and executes its actions.
     pub(super) fn take_turn(&mut self, events: Vec<RuntimeEvent>) {
         let now = self.clock.now();
         self.decisions.notify_deferred(now);
@@ -45,7 +45,7 @@
                 self.lifecycle.terminate();
             }
             RuntimeEvent::TakeOverRequested(channel) => {
-                // While one successor takes over, another one has to retry.
+                // While one successor takes over, the request of another one is dropped, and it has to retry.
                 if matches!(self.successor, Successor::None) {
                     self.successor = Successor::Requested(channel);
                 }
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Lets the module decide and executes its decisions: first the final answers, then the journal, then the
-    /// replies to clients, then the calls, then the notices.
+    /// Ends the turn for the decision module and executes its actions: first the final replies, then the
+    /// commit to the journal, then the replies to accepted messages, then the calls, then the notices.
     pub(super) fn finish_turn(&mut self, now: Micros) {
         self.decide(now);
         let attempts = self.execute_actions(now);
@@ -67,15 +67,15 @@
         self.idle_connections.close_expired(now);
     }
 
-    /// Ends the turn for the module, which decides attempts only then. Near the end of a shutdown no call may start,
-    /// and the module is not notified.
+    /// Delivers [`Event::TurnEnd`], in reaction to which the decision module starts attempts. Near the end of
+    /// a shutdown no call may start, and the event is not delivered.
     fn decide(&mut self, now: Micros) {
         if self.lifecycle.may_start_calls() {
             self.decisions.notify(now, Event::TurnEnd);
         }
     }
 
-    /// Executes the actions, except for new attempts: these are returned, and start after the commit.
+    /// Executes the actions except for new attempts, which are returned and start after the commit.
     fn execute_actions(&mut self, now: Micros) -> Vec<PlannedAttempt> {
         let mut attempts = Vec::new();
         for action in self.decisions.take_actions() {
@@ -83,14 +83,14 @@
                 Action::Send { id, endpoint, timeout, send_before } => {
                     attempts.extend(self.plan_attempt(now, id, endpoint, timeout, send_before));
                 }
-                Action::Reject { id, retry_after } => self.give_up(id, FinalAnswer::rejected(retry_after)),
-                Action::Fail { id } => self.give_up(id, FinalAnswer::Failed),
+                Action::Reject { id, retry_after } => self.end_message(id, FinalReply::rejected(retry_after)),
+                Action::Fail { id } => self.end_message(id, FinalReply::Failed),
                 Action::Cancel { id, attempt } => {
                     self.command_attempt(AttemptKey { id, attempt }, AttemptCommand::Cancel);
                 }
                 Action::CloseIdleConnections { endpoint } => self.idle_connections.close(endpoint),
                 Action::Wake { at } => self.decisions.request_wake(at),
-                // Discovery follows the endpoint list in any case.
+                // Discovery always follows the endpoint list.
                 Action::Subscribe => {}
                 Action::AcceptClients(accepts) => self.lifecycle.set_accepts_clients(accepts),
             }
@@ -98,16 +98,16 @@
         attempts
     }
 
-    /// Writes the turn to the journal, then replies to clients and starts calls. If it cannot be written, no
-    /// message is accepted and no call is started.
+    /// Writes the records of the turn to the journal, then replies to clients and starts calls. If the
+    /// journal cannot be written, no message is accepted and no call is started.
     fn commit(&mut self, now: Micros, attempts: Vec<PlannedAttempt>) {
         let now_unix_ms = self.unix_clock.now_unix_ms();
-        let Acceptance { ids, records, .. } = self.select_for_acceptance(now_unix_ms);
+        let SelectedMessages { ids, records, .. } = self.select_for_acceptance(now_unix_ms);
         let written = self.journal.lock().commit(&records, now_unix_ms);
         if let Err(error) = written {
-            // The journal itself logs when it can no longer be written, and when it can again.
+            // The journal itself logs failed writes, and when it can be written again.
             if matches!(error, JournalError::Full) {
-                eprintln!("runtime: {error}");
+                eprintln!("runtime: {error}; in this turn, no message is accepted and no call is started");
             }
             ids.into_iter().for_each(|id| self.reject_submission(id));
             attempts.iter().for_each(|attempt| self.report_not_sent(attempt));
@@ -117,9 +117,10 @@
         self.start_calls(now, attempts);
     }
 
-    /// Selects the submitted messages that fit into the journal and whose clients still wait; rejects the others.
-    fn select_for_acceptance(&mut self, now_unix_ms: u64) -> Acceptance {
-        let mut selected = Acceptance::default();
+    /// Selects the submitted messages that fit into the journal and have a waiting client, and rejects the
+    /// others.
+    fn select_for_acceptance(&mut self, now_unix_ms: u64) -> SelectedMessages {
+        let mut selected = SelectedMessages::default();
         for id in self.messages.take_submitted() {
             let Some(message) = self.messages.get(id) else { continue };
             let messages = selected.ids.len() + 1;
@@ -137,7 +138,7 @@
         selected
     }
 
-    /// Replies to the clients of a message that it is accepted. It has been written to the journal.
+    /// Accepts a message that has been written to the journal, and replies to its clients.
     fn accept(&mut self, id: MessageId) {
         let Some(message) = self.messages.get_mut(id) else { return };
         message.accepted = true;
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Rejects a message that cannot be accepted, and makes the module forget it.
+    /// Rejects a message that cannot be accepted. The decision module drops it at the start of the next turn.
     fn reject_submission(&mut self, id: MessageId) {
         let Some(mut message) = self.messages.remove(id) else { return };
         self.metrics.record_dropped(if message.is_abandoned_by_clients() {
@@ -159,7 +160,7 @@
         self.decisions.defer(Event::ClientDisconnected { id });
     }
 
-    /// Completes an accepted message without an attempt, because all its clients disconnected before they got the
+    /// Completes an accepted message without an attempt, because all its clients disconnected before the
     /// reply.
     fn withdraw_accepted(&mut self, id: MessageId) {
         let Some(message) = self.messages.remove(id) else { return };
