--- a/src/forwarder/runtime/call_commands.rs
+++ b/src/forwarder/runtime/call_commands.rs
@@ -1,4 +1,4 @@
-//! Commands to calls in flight, whichever process makes them.
+//! Commands to calls in flight, of this process and of the predecessor.
 
 use super::Runtime;
 use super::call_in_flight::AttemptCommand;
@@ -6,7 +6,7 @@
 use crate::interface::EndpointId;
 
 impl Runtime {
-    /// Sends a command to the call of an attempt, whichever process makes it.
+    /// Sends a command to the call of an attempt, which this process or the predecessor makes.
     pub(super) fn command_attempt(&self, key: AttemptKey, command: AttemptCommand) {
         self.calls.command(key, command, self.predecessor.as_ref());
     }
@@ -18,14 +18,15 @@
         }
     }
 
-    /// Withholds the calls to the destination of this endpoint that are not written yet, after a Retry-After.
+    /// Forbids all calls in flight to the destination of this endpoint to write more, after a Retry-After.
     pub(super) fn withhold_writes_to_destination_of(&mut self, endpoint: EndpointId) {
         let endpoints = &self.endpoints;
         let destination = endpoints.destination(endpoint);
         self.calls.withhold_writes(|called| endpoints.destination(called) == destination);
     }
 
-    /// Stops new writes to an endpoint, both on idle connections and on those that are still being established.
+    /// Prevents new writes to an endpoint, both on idle connections and on those that are still being
+    /// established.
     pub(super) fn stop_using(&mut self, endpoint: EndpointId) {
         self.idle_connections.close(endpoint);
         self.calls.withhold_writes(|called| called == endpoint);
--- a/src/forwarder/runtime/call_in_flight.rs
+++ b/src/forwarder/runtime/call_in_flight.rs
@@ -10,11 +10,11 @@
 /// A call in flight.
 pub(super) struct CallInFlight {
     pub(super) endpoint: EndpointId,
-    /// Attempts of it that have not ended.
+    /// The number of its attempts that have not ended.
     pub(super) attempts_left: usize,
-    /// How long its connection had been idle before; 0 for a new connection.
+    /// How long the connection was idle before the call; 0 for a new connection.
     pub(super) idle_for: Micros,
-    /// Whether it was forbidden to write anything more.
+    /// Whether the call has been forbidden to write anything more.
     pub(super) write_withheld: bool,
     pub(super) process: CallProcess,
 }
@@ -22,21 +22,21 @@
 /// The process that makes a call.
 pub(super) enum CallProcess {
     This {
-        /// The call's task holds the receiver; its bound is [`command_capacity`].
+        /// The call's task holds the receiver. The channel's capacity is [`command_capacity`].
         commands: Sender<CallCommand>,
         guard: Arc<WriteGuard>,
     },
     Predecessor,
 }
 
-/// Upper bound of the commands to a call: each of its attempts is cancelled or abandoned at most once each, and the
-/// call is forbidden once to write anything more.
+/// Maximum number of commands to a call: each of its attempts is cancelled at most once and abandoned at most
+/// once, and the call is forbidden at most once to write anything more.
 pub(super) fn command_capacity(attempts: usize) -> usize {
     2 * attempts + 1
 }
 
 impl CallInFlight {
-    /// Whether some of it may have been written.
+    /// Whether the call may have been written, at least in part.
     pub(super) fn may_be_written(&self) -> bool {
         match &self.process {
             CallProcess::This { guard, .. } => guard.is_begun(),
@@ -44,18 +44,20 @@
         }
     }
 
-    /// Sends a command to the call if this process makes it.
+    /// Sends a command to the call if this process makes the call.
     pub(super) fn command(&self, command: CallCommand) {
         let CallProcess::This { commands, guard } = &self.process else { return };
         if !matches!(command, CallCommand::Cancel(..)) {
-            // Takes effect at once: the connection may be established before the task reads the command.
+            // The guard takes effect at once; the connection may be established before the task reads the
+            // command.
             guard.withhold();
         }
         // A call that no longer receives commands has ended; its report has been sent or will be.
         let _ = commands.try_send(command);
     }
 
-    /// Forbids the call to write anything from now on. The capacity of its channel allows for one such command only.
+    /// Forbids the call to write anything from now on. The command is sent only once, because the capacity of
+    /// the channel allows for one.
     pub(super) fn withhold_write(&mut self) {
         if !self.write_withheld {
             self.write_withheld = true;
@@ -82,7 +84,7 @@
         }
     }
 
-    /// The frame for the process that makes the call.
+    /// The frame that sends the command to another process that makes the call.
     pub(super) fn to_frame(self, attempt: AttemptRef) -> Frame {
         match self {
             AttemptCommand::Cancel => Frame::CancelAttempt(attempt),
--- a/src/forwarder/runtime/call_reports.rs
+++ b/src/forwarder/runtime/call_reports.rs
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Keeps the connection of a call that has ended for later calls, if the endpoint may be called at this
+    /// Keeps the connection of an ended call for later calls, if the endpoint may still be called at this
     /// address and the pool has capacity.
     fn keep_connection(&mut self, endpoint: EndpointId, address: SocketAddr, connection: Connection) {
         let Some(known) = self.endpoints.get(endpoint) else { return };
@@ -39,7 +39,7 @@
         }
     }
 
-    /// While a predecessor still has calls in flight, the two processes share the descriptors of one.
+    /// While a predecessor has calls in flight, the two processes share the file descriptors of one process.
     fn max_idle_connections(&self) -> usize {
         let capacity = self.idle_connections.capacity();
         if self.predecessor.is_some() { capacity / 2 } else { capacity }
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Handles the end of an attempt, whichever process made it.
+    /// Handles the end of an attempt of this process or of the predecessor.
     pub(super) fn end_attempt(&mut self, now: Micros, address: SocketAddr, result: AttemptResult) {
         let Some(EndedAttempt { sent_at, call_ended, .. }) = self.calls.end_attempt(result.key()) else {
             return;
@@ -79,7 +79,8 @@
         self.decisions.notify(now, Event::AttemptEnded(ended));
     }
 
-    /// Enqueues the end of the attempt for the journal, and completes its message if nothing is left to do for it.
+    /// Enqueues the end of the attempt for the journal, and removes its message if the attempt has completed
+    /// it.
     fn journal_attempt_end(&mut self, result: &AttemptResult) {
         let now_unix_ms = self.unix_clock.now_unix_ms();
         let record = if result.finished
--- a/src/forwarder/runtime/calls.rs
+++ b/src/forwarder/runtime/calls.rs
@@ -1,4 +1,4 @@
-//! The calls in flight and the attempts that travel in them.
+//! The calls in flight and their attempts.
 
 use super::call_in_flight::{AttemptCommand, CallInFlight, CallProcess};
 use crate::forwarder::endpoint_client::{CallCommand, WriteGuard};
@@ -15,14 +15,14 @@
 /// An attempt in flight.
 struct AttemptInFlight {
     sent_at: Micros,
-    /// The call that it travels in.
+    /// The call that contains the attempt.
     call: CallId,
-    /// The id that the client gave to its message, which may be complete already.
+    /// The client's id of the message, which may be complete already.
     message: String,
 }
 
 impl AttemptInFlight {
-    /// Identifies this attempt, whose number is `attempt`, to another process.
+    /// Identifies this attempt to another process; `attempt` is the number of the attempt.
     fn reference(&self, attempt: usize) -> AttemptRef {
         AttemptRef { message: self.message.clone(), attempt }
     }
@@ -31,17 +31,18 @@
 /// An attempt that this process starts.
 pub(super) struct StartedAttempt {
     pub(super) key: AttemptKey,
-    /// The id that the client gave to its message.
+    /// The client's id of the message.
     pub(super) message: String,
 }
 
 /// A call that this process starts.
 pub(super) struct StartedCall {
     pub(super) endpoint: EndpointId,
-    /// How long its connection had been idle before; 0 for a new connection.
+    /// How long the connection was idle before the call; 0 for a new connection.
     pub(super) idle_for: Micros,
     pub(super) attempts: Vec<StartedAttempt>,
-    /// The call's task holds the receiver. The bound is [`super::call_in_flight::command_capacity`].
+    /// The call's task holds the receiver. The channel's capacity is
+    /// [`super::call_in_flight::command_capacity`].
     pub(super) commands: Sender<CallCommand>,
     /// Shared with the call's task.
     pub(super) guard: Arc<WriteGuard>,
@@ -50,13 +51,13 @@
 /// An attempt that has just ended.
 pub(super) struct EndedAttempt {
     pub(super) sent_at: Micros,
-    /// The id that the client gave to its message.
+    /// The client's id of the message.
     pub(super) message: String,
-    /// The call ended with this attempt.
+    /// Whether this was the last attempt of its call.
     pub(super) call_ended: bool,
 }
 
-/// An attempt whose call may have been written, for the hand-over.
+/// An attempt whose call may have been written, for the handover.
 pub(super) struct WrittenAttempt {
     pub(super) call: CallId,
     pub(super) endpoint: EndpointId,
@@ -73,7 +74,7 @@
 }
 
 impl CallsInFlight {
-    /// Calls in flight.
+    /// The number of calls in flight.
     pub(super) fn len(&self) -> usize {
         self.calls.len()
     }
@@ -113,8 +114,8 @@
         }
     }
 
-    /// Adds a call that the predecessor makes. Its attempts are added by [`CallsInFlight::add_inherited_attempt`]
-    /// once their messages have numbers.
+    /// Adds a call that the predecessor makes. Its attempts are added with
+    /// [`CallsInFlight::add_inherited_attempt`] once their messages have numbers.
     pub(super) fn add_inherited_call(&mut self, endpoint: EndpointId, attempts: usize) -> CallId {
         self.insert_call(CallInFlight {
             endpoint,
@@ -138,7 +139,7 @@
         id
     }
 
-    /// Removes an attempt that has ended, and its call with the last one.
+    /// Removes an attempt that has ended, and its call if this was the last attempt.
     pub(super) fn end_attempt(&mut self, key: AttemptKey) -> Option<EndedAttempt> {
         let AttemptInFlight { sent_at, call, message } = self.attempts.remove(&key)?;
         let call_ended = self.end_attempt_of_call(call);
@@ -156,27 +157,28 @@
         ended
     }
 
-    /// The attempt in flight with this number of the message with this client's id.
+    /// The attempt in flight with this number, of the message with this client id.
     pub(super) fn find(&self, message: &str, attempt: usize) -> Option<AttemptKey> {
-        let is_wanted =
-            |key: &AttemptKey, flight: &AttemptInFlight| key.attempt == attempt && flight.message == message;
+        let is_match = |key: &AttemptKey, in_flight: &AttemptInFlight| {
+            key.attempt == attempt && in_flight.message == message
+        };
         let mut attempts = self.attempts.iter();
-        attempts.find(|(key, flight)| is_wanted(key, flight)).map(|(key, _)| *key)
+        attempts.find(|(key, in_flight)| is_match(key, in_flight)).map(|(key, _)| *key)
     }
 
-    /// Like [`CallsInFlight::find`], among the calls of the predecessor only. This process may have made an attempt with
-    /// the same number: it sends a message again whose first call the predecessor withheld.
+    /// Like [`CallsInFlight::find`], but only among the calls of the predecessor. This process may have made
+    /// an attempt with the same number, if it sent a message again whose first call the predecessor withheld.
     pub(super) fn find_inherited(&self, message: &str, attempt: usize) -> Option<AttemptKey> {
-        let is_wanted = |key: &AttemptKey, flight: &AttemptInFlight| {
-            key.attempt == attempt && flight.message == message && self.is_inherited(flight)
+        let is_match = |key: &AttemptKey, in_flight: &AttemptInFlight| {
+            key.attempt == attempt && in_flight.message == message && self.is_inherited(in_flight)
         };
         let mut attempts = self.attempts.iter();
-        attempts.find(|(key, flight)| is_wanted(key, flight)).map(|(key, _)| *key)
+        attempts.find(|(key, in_flight)| is_match(key, in_flight)).map(|(key, _)| *key)
     }
 
     /// Whether the predecessor makes the call of this attempt.
-    fn is_inherited(&self, flight: &AttemptInFlight) -> bool {
-        let call = self.calls.get(&flight.call);
+    fn is_inherited(&self, in_flight: &AttemptInFlight) -> bool {
+        let call = self.calls.get(&in_flight.call);
         call.is_some_and(|call| matches!(call.process, CallProcess::Predecessor))
     }
 
@@ -185,7 +187,7 @@
         self.call_of(key).map(|call| call.endpoint)
     }
 
-    /// How long the connection of an attempt's call had been idle before.
+    /// How long the connection of an attempt's call was idle before the call.
     pub(super) fn idle_time_of(&self, key: AttemptKey) -> Option<Micros> {
         self.call_of(key).map(|call| call.idle_for)
     }
@@ -194,7 +196,8 @@
         self.calls.get(&self.attempts.get(&key)?.call)
     }
 
-    /// Sends a command to the call of an attempt in flight, through the predecessor if that makes the call.
+    /// Sends a command to the call of an attempt in flight, via the predecessor if the predecessor makes the
+    /// call.
     pub(super) fn command(
         &self,
         key: AttemptKey,
@@ -226,21 +229,21 @@
 
     /// The attempts whose calls may have been written.
     pub(super) fn written_attempts(&self) -> impl Iterator<Item = WrittenAttempt> {
-        self.attempts.iter().filter_map(|(key, flight)| {
-            let call = self.calls.get(&flight.call).filter(|call| call.may_be_written())?;
+        self.attempts.iter().filter_map(|(key, in_flight)| {
+            let call = self.calls.get(&in_flight.call).filter(|call| call.may_be_written())?;
             Some(WrittenAttempt {
-                call: flight.call,
+                call: in_flight.call,
                 endpoint: call.endpoint,
-                sent_at: flight.sent_at,
-                attempt: flight.reference(key.attempt),
+                sent_at: in_flight.sent_at,
+                attempt: in_flight.reference(key.attempt),
             })
         })
     }
 
     /// The attempts that the predecessor has in flight.
     pub(super) fn attempts_of_predecessor(&self) -> impl Iterator<Item = AttemptRef> {
-        let inherited = self.attempts.iter().filter(|(_, flight)| self.is_inherited(flight));
-        inherited.map(|(key, flight)| flight.reference(key.attempt))
+        let inherited = self.attempts.iter().filter(|(_, in_flight)| self.is_inherited(in_flight));
+        inherited.map(|(key, in_flight)| in_flight.reference(key.attempt))
     }
 }
 
--- a/src/forwarder/runtime/outbound_calls.rs
+++ b/src/forwarder/runtime/outbound_calls.rs
@@ -1,4 +1,4 @@
-//! Starts the calls that the decision module requested.
+//! Starts the calls that the decision module has requested.
 
 use super::Runtime;
 use super::call_in_flight::command_capacity;
@@ -22,19 +22,19 @@
     attempt: usize,
     endpoint: EndpointId,
     times_out_at: Micros,
-    /// It must not be written at or after this time.
+    /// The call must not be written at or after this time.
     send_before: Micros,
 }
 
-/// Attempts that travel in one call.
+/// Attempts that are sent in one call.
 struct PlannedCall {
     endpoint: EndpointId,
     attempts: Vec<PlannedAttempt>,
 }
 
 impl Runtime {
-    /// Assigns a number to an attempt. Returns `None` if its message is no longer open. With a `timeout` of 0 the
-    /// attempt times out when the client stops waiting.
+    /// Assigns a number to an attempt. Returns `None` if its message is no longer open. With a `timeout` of 0
+    /// the attempt times out when the message expires.
     pub(super) fn plan_attempt(
         &mut self,
         now: Micros,
@@ -51,7 +51,7 @@
         Some(PlannedAttempt { id, attempt, endpoint, times_out_at, send_before })
     }
 
-    /// Starts calls for the attempts of a turn.
+    /// Starts the calls for the attempts of a turn.
     pub(super) fn start_calls(&mut self, now: Micros, attempts: Vec<PlannedAttempt>) {
         for call in group_into_calls(attempts, &self.endpoints) {
             self.start_call(now, call);
@@ -66,7 +66,7 @@
         let guard = Arc::new(self.write_guard(known, &items));
         let proven_only = items.iter().any(|item| self.is_not_idempotent(item.id));
         let reused = self.idle_connections.take(now, endpoint, proven_only);
-        // This side keeps the sender with the call, the call's task the receiver.
+        // The runtime keeps the sender with the call, and the call's task gets the receiver.
         let (command_sender, commands) = channel(command_capacity(items.len()));
         self.calls.add_call(
             now,
@@ -78,7 +78,7 @@
                 guard: guard.clone(),
             },
         );
-        // The task ends by itself, after it has reported the end of each attempt.
+        // The task ends by itself after it has reported the end of each attempt.
         tokio::spawn(endpoint_client::perform(OutboundCall {
             endpoint,
             address,
@@ -91,7 +91,8 @@
         }));
     }
 
-    /// The messages of a call. An attempt whose message or endpoint was removed is reported as not sent instead.
+    /// The messages of a call. An attempt whose message or endpoint was removed is reported as not sent
+    /// instead.
     fn call_items(&mut self, call: PlannedCall) -> Vec<CallItem> {
         let is_known = self.endpoints.contains(call.endpoint);
         let mut items = Vec::with_capacity(call.attempts.len());
@@ -114,7 +115,7 @@
         items
     }
 
-    /// Lets the call journal its attempts right before it is written.
+    /// The guard with which the call records its attempts in the journal right before it is written.
     fn write_guard(&self, endpoint: &Endpoint, items: &[CallItem]) -> WriteGuard {
         let attempts = items.iter().map(attempt_ref).collect();
         let send_before = items.iter().map(|item| item.send_before).min().unwrap_or_else(Instant::now);
@@ -122,7 +123,8 @@
         WriteGuard::new(self.journal.clone(), self.unix_clock, attempts, send_before, zone)
     }
 
-    /// Whether the message must never be executed twice. Without its class nothing may be assumed about it.
+    /// Whether the message must never be executed twice. A message of an unknown class is assumed not to be
+    /// idempotent.
     fn is_not_idempotent(&self, id: MessageId) -> bool {
         let Some(message) = self.messages.get(id) else { return false };
         self.names
@@ -135,7 +137,7 @@
         Duration::from_micros(self.settings.connect_timeout.max(MIN_CONNECT_TIMEOUT_MICROS) as u64)
     }
 
-    /// Reports an attempt that was not sent, at the start of the next turn.
+    /// Reports an attempt as not sent, at the start of the next turn.
     pub(super) fn report_not_sent(&mut self, planned: &PlannedAttempt) {
         self.decisions.defer(Event::AttemptEnded(AttemptEnded {
             id: planned.id,
@@ -150,7 +152,7 @@
     }
 }
 
-/// Attempts to one endpoint travel together, up to what its kind of destination allows.
+/// Groups the attempts to one endpoint into calls, up to the maximum batch size of the endpoint.
 fn group_into_calls(attempts: Vec<PlannedAttempt>, endpoints: &Endpoints) -> Vec<PlannedCall> {
     let mut calls: Vec<PlannedCall> = Vec::new();
     for attempt in attempts {
