--- a/src/forwarder/runtime/endpoint_list.rs
+++ b/src/forwarder/runtime/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Applies the endpoint list of discovery.
+//! Applies the endpoint lists that discovery sends.
 
 use super::Runtime;
 use crate::forwarder::discovery::ListAge;
@@ -6,13 +6,13 @@
 use crate::interface::{EndpointEntry, EndpointState, Event, Micros};
 
 impl Runtime {
-    /// Applies what discovery has sent, and remembers which endpoints it takes out of service.
+    /// Applies a list from discovery, or changes to the list, and stores which endpoints have left service.
     pub(super) fn receive_endpoint_list(&mut self, now: Micros, list: &EndpointList) {
         self.departed.record(list, self.endpoints.uids_in_service());
         self.apply_endpoint_list(now, list);
     }
 
-    /// Applies the list, or changes to it.
+    /// Applies a complete list, or changes to the current one.
     pub(super) fn apply_endpoint_list(&mut self, now: Micros, list: &EndpointList) {
         self.endpoints.set_revision(list.revision);
         if list.complete {
@@ -20,7 +20,7 @@
         }
         let unreadable = self.unreadable_records(list);
         let records = list.endpoints.iter().chain(&unreadable);
-        self.log_departures(list, records.clone());
+        self.log_endpoints_leaving_service(list, records.clone());
         let entries = records.map(|record| self.apply_record(now, record)).collect();
         let event = if list.complete { Event::ListSnapshot(entries) } else { Event::ListUpdate(entries) };
         self.decisions.notify(now, event);
@@ -30,8 +30,8 @@
         self.forget_removed_endpoints(now);
     }
 
-    /// The records of known endpoints whose change could not be parsed. It may be a drain. In a complete list, such an
-    /// endpoint counts as missing.
+    /// Records that drain the endpoints in service whose changed records could not be parsed: the change may
+    /// have been a drain. From a complete list, such endpoints are missing and thus removed.
     fn unreadable_records(&self, list: &EndpointList) -> Vec<EndpointRecord> {
         if list.complete {
             return Vec::new();
@@ -44,7 +44,8 @@
             .collect()
     }
 
-    /// While the list is too old, no call may start: endpoints may have been drained since.
+    /// Records whether the list is stale. While it is, no call may start: endpoints may have been drained
+    /// since.
     pub(super) fn apply_list_age(&mut self, now: Micros, age: ListAge) {
         self.list_age = age;
         let event = match age {
@@ -57,16 +58,23 @@
         self.decisions.notify(now, event);
     }
 
-    /// Logs the endpoints that this list takes out of service.
-    fn log_departures<'a>(&self, list: &EndpointList, records: impl Iterator<Item = &'a EndpointRecord>) {
-        let departs = |record: &&EndpointRecord| {
+    /// Logs the endpoints that leave service with this list.
+    fn log_endpoints_leaving_service<'a>(
+        &self,
+        list: &EndpointList,
+        records: impl Iterator<Item = &'a EndpointRecord>,
+    ) {
+        let leaves_service = |record: &&EndpointRecord| {
             let known =
                 self.endpoints.number_of(&record.uid).and_then(|endpoint| self.endpoints.get(endpoint));
             known.is_some_and(|known| known.record.state == LifecycleState::InService)
                 && record.state != LifecycleState::InService
         };
-        for record in records.filter(departs) {
-            eprintln!("runtime: revision {}: endpoint {} is {:?}", list.revision, record.uid, record.state);
+        for record in records.filter(leaves_service) {
+            eprintln!(
+                "runtime: endpoint list revision {}: endpoint {} left service, its state is {:?}",
+                list.revision, record.uid, record.state
+            );
         }
     }
 
@@ -101,7 +109,7 @@
         let forgotten = self.endpoints.forget_removed(now, |endpoint| calls.is_called(endpoint));
         for endpoint in forgotten {
             self.idle_connections.forget(endpoint);
-            // Its number is not used again. The ban of its id stays in the journal.
+            // Ends the ban of this number, which is not reused. The ban of the id stays in the journal.
             self.decisions.notify(now, Event::BanEnded { endpoint });
         }
     }
--- a/src/forwarder/runtime/endpoints.rs
+++ b/src/forwarder/runtime/endpoints.rs
@@ -1,65 +1,65 @@
-//! The endpoints of the list, their numbers, and those that were removed from the list.
+//! The endpoints of the endpoint list, their numbers, and the endpoints that were removed from the list.
 
 use crate::forwarder::messages::endpoint_list::{EndpointRecord, LifecycleState};
 use crate::interface::{DestinationId, EndpointId, Micros};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::net::SocketAddr;
 
-/// An endpoint that was removed from the list keeps its number for this long: listed again within it, it is the
-/// same endpoint.
+/// An endpoint that was removed from the list keeps its number for this long. If it is listed again within
+/// this time, it is treated as the same endpoint.
 const REMOVED_RETENTION_MICROS: Micros = 30_000_000;
-/// Upper bound of the remembered ids of forgotten endpoints, which operators may still disable and enable.
+/// Maximum number of remembered ids of forgotten endpoints, which operators may still disable and enable.
 const MAX_FORMER_IDS: usize = 1024;
 
-/// An endpoint that is listed, or was until lately.
+/// An endpoint that is listed, or was removed from the list and is not forgotten yet.
 pub(super) struct Endpoint {
-    /// What the list said last.
+    /// Its latest record in the list.
     pub(super) record: EndpointRecord,
-    /// The zone in which it was first listed. Attempts are journaled under this name.
+    /// The zone in which the endpoint was first listed. The journal records it with each attempt.
     pub(super) zone: String,
-    /// Messages that may travel in one call.
+    /// Maximum number of messages in one call.
     pub(super) max_batch: usize,
 }
 
 /// The result of [`Endpoints::update`].
 pub(super) struct UpdatedEndpoint {
     pub(super) endpoint: EndpointId,
-    /// It was known under another address before.
+    /// Whether the endpoint had another address before.
     pub(super) address_changed: bool,
 }
 
-/// Owns the endpoints and their numbers. A number is never used for a second endpoint, so that a new endpoint
-/// inherits nothing from a forgotten one.
+/// Owns the endpoints and their numbers. A number is never reused for another endpoint, so that a new
+/// endpoint inherits no state of a forgotten one.
 #[derive(Default)]
 pub(super) struct Endpoints {
     by_number: BTreeMap<EndpointId, Endpoint>,
     numbers: HashMap<String, EndpointId>,
     next_number: EndpointId,
-    /// Endpoints that the list no longer contains, and since when.
+    /// When each endpoint that the list no longer contains was removed from it.
     removed_at: BTreeMap<EndpointId, Micros>,
-    /// Ids of forgotten endpoints, the latest first.
+    /// Ids of forgotten endpoints, the most recently forgotten first.
     former_ids: VecDeque<String>,
-    /// Revision of the list, if any is known.
+    /// Revision of the list; `None` before the first list.
     revision: Option<u64>,
 }
 
 impl Endpoints {
-    /// The endpoint with this number, unless it is forgotten.
+    /// The endpoint with this number; `None` if it is unknown or forgotten.
     pub(super) fn get(&self, endpoint: EndpointId) -> Option<&Endpoint> {
         self.by_number.get(&endpoint)
     }
 
-    /// Whether the endpoint with this number is known, listed or removed.
+    /// Whether the endpoint with this number is listed, or removed and not forgotten yet.
     pub(super) fn contains(&self, endpoint: EndpointId) -> bool {
         self.by_number.contains_key(&endpoint)
     }
 
-    /// The number of the endpoint to which discovery gave this id.
+    /// The number of the endpoint with this discovery id.
     pub(super) fn number_of(&self, uid: &str) -> Option<EndpointId> {
         self.numbers.get(uid).copied()
     }
 
-    /// The id that discovery gave to an endpoint.
+    /// The discovery id of an endpoint.
     pub(super) fn uid(&self, endpoint: EndpointId) -> Option<String> {
         self.get(endpoint).map(|known| known.record.uid.clone())
     }
@@ -74,17 +74,17 @@
         self.get(endpoint).map(|known| known.record.destination)
     }
 
-    /// Messages that may travel in one call to this endpoint.
+    /// Maximum number of messages in one call to this endpoint.
     pub(super) fn max_batch(&self, endpoint: EndpointId) -> usize {
         self.get(endpoint).map_or(1, |known| known.max_batch)
     }
 
-    /// Whether an endpoint with this id is listed or was listed not long ago.
+    /// Whether an endpoint with this id is listed, or was listed earlier and its id is still remembered.
     pub(super) fn was_ever_listed(&self, uid: &str) -> bool {
         self.numbers.contains_key(uid) || self.former_ids.iter().any(|former| former == uid)
     }
 
-    /// Revision of the list, if any is known.
+    /// Revision of the list; `None` before the first list.
     pub(super) fn revision(&self) -> Option<u64> {
         self.revision
     }
@@ -118,7 +118,7 @@
         number
     }
 
-    /// Marks an endpoint as removed from the list, unless it is marked already.
+    /// Marks an endpoint as removed from the list. The time of an earlier removal is kept.
     pub(super) fn mark_removed(&mut self, now: Micros, endpoint: EndpointId) {
         self.removed_at.entry(endpoint).or_insert(now);
     }
@@ -140,13 +140,14 @@
         self.removed_at.contains_key(&endpoint)
     }
 
-    /// The endpoints that were removed from the list and are not forgotten.
+    /// The endpoints that were removed from the list and are not forgotten yet.
     pub(super) fn removed(&self) -> Vec<EndpointId> {
         self.removed_at.keys().copied().collect()
     }
 
-    /// Forgets the endpoints that were removed from the list long ago and are not called any more, and returns
-    /// them. This bounds the memory: over a long day endpoints are replaced many times, each by one with a new id.
+    /// Forgets the endpoints whose retention after the removal has ended and to which no call is in flight,
+    /// and returns them. This bounds the memory: endpoints are replaced many times a day, each by one with a
+    /// new id.
     pub(super) fn forget_removed(
         &mut self,
         now: Micros,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// The ids of the endpoints that are in service.
+    /// The ids of the endpoints that are listed and in service.
     pub(super) fn uids_in_service(&self) -> impl Iterator<Item = &str> {
         let in_service = self.by_number.iter().filter(|(endpoint, known)| {
             known.record.state == LifecycleState::InService && !self.is_removed(**endpoint)
@@ -179,7 +180,7 @@
         in_service.map(|(_, known)| known.record.uid.as_str())
     }
 
-    /// The records of all endpoints; those that were removed are terminated.
+    /// The records of all endpoints; removed endpoints have the state [`LifecycleState::Terminated`].
     pub(super) fn records(&self) -> Vec<EndpointRecord> {
         let record = |(endpoint, known): (&EndpointId, &Endpoint)| {
             let mut record = known.record.clone();
--- a/src/forwarder/runtime/endpoints/tests.rs
+++ b/src/forwarder/runtime/endpoints/tests.rs
@@ -40,7 +40,7 @@
     assert!(!endpoints.was_ever_listed("s-2"));
     let again = endpoints.update(&record("s-1", 2), 1);
     assert_ne!(again.endpoint, first);
-    assert!(!again.address_changed, "nothing is remembered of it");
+    assert!(!again.address_changed, "its former address is forgotten");
 }
 
 #[test]
