--- a/src/forwarder/runtime/client_requests.rs
+++ b/src/forwarder/runtime/client_requests.rs
@@ -1,4 +1,4 @@
-//! Messages that clients submit.
+//! Handles the messages that clients submit.
 
 use super::Runtime;
 use super::open_messages::OpenMessage;
@@ -8,11 +8,11 @@
 use crate::interface::{DestinationId, Micros};
 use crate::interface::{Event, MessageHistory, MessageId, Submission};
 
-/// What is announced to the decision module about a message, apart from its number.
+/// What the decision module needs to know about a submitted message, apart from its number.
 pub(super) struct SubmissionDetails {
-    /// Index of its class.
+    /// Index of the message's class.
     pub(super) class: usize,
-    /// Index of its tenant.
+    /// Index of the message's tenant.
     pub(super) tenant: Option<usize>,
     pub(super) destination: DestinationId,
     pub(super) expires_at: Micros,
@@ -20,8 +20,8 @@
 }
 
 impl Runtime {
-    /// Submits a message to the decision module, unless the reply is known already or too many messages are open.
-    /// The commit of the turn accepts it.
+    /// Submits a message to the decision module, unless the reply is known already or too many messages are
+    /// open. The commit of the turn accepts or rejects the message.
     pub(super) fn submit(&mut self, now: Micros, request: ClientRequest) {
         if let Some(open) = self.messages.by_client_id_mut(&request.id)
             && !open.accepted
@@ -39,7 +39,8 @@
         self.submit_new_message(now, request);
     }
 
-    /// The reply to a message that is complete or accepted already, or that exceeds the limit of open messages.
+    /// The reply to a message that is complete or accepted already, or that exceeds the limit of open
+    /// messages.
     fn immediate_reply(&self, client_id: &str) -> Option<ClientReply> {
         let remembered = self.journal.lock().final_outcome(client_id);
         match remembered.map(|remembered| remembered.outcome) {
@@ -73,7 +74,7 @@
         self.notify_submission(now, number, details);
     }
 
-    /// Announces a message to the decision module.
+    /// Submits a message to the decision module.
     pub(super) fn notify_submission(&mut self, now: Micros, id: MessageId, details: SubmissionDetails) {
         let SubmissionDetails { class, tenant, destination, expires_at, history } = details;
         let submission = Submission { id, class, tenant, key: None, expires_at, destination, history };
--- a/src/forwarder/runtime/open_messages.rs
+++ b/src/forwarder/runtime/open_messages.rs
@@ -1,4 +1,4 @@
-//! The open messages, by number and by the id that the client gave.
+//! The open messages, by number and by client id.
 
 use crate::forwarder::journal::AcceptedMessage;
 use crate::forwarder::messages::client_request::ClientReply;
@@ -6,24 +6,24 @@
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// Clients that may wait for the reply to one message. Any number of clients may submit the same message, so the
-/// bound limits the memory that they take.
+/// Maximum number of clients that wait for the reply to one message. It limits their memory: any number of
+/// clients may submit the same message.
 const MAX_CLIENTS_PER_MESSAGE: usize = 4;
 
-/// A message that still needs attempts or a final answer.
+/// A message that still needs attempts or a final reply.
 pub(super) struct OpenMessage {
-    /// The message as it is written to the journal.
+    /// The message in the form that is written to the journal.
     pub(super) content: AcceptedMessage,
-    /// When its client stops waiting.
+    /// When the message expires: its client stops waiting.
     pub(super) expires_at: Micros,
-    /// Attempts that were started.
+    /// The number of attempts that were started.
     pub(super) attempts: usize,
-    /// Whether it is recorded in the journal.
+    /// Whether the message was accepted and is recorded in the journal.
     pub(super) accepted: bool,
-    /// An earlier process had accepted it without making an attempt.
+    /// Whether an earlier process accepted the message and made no attempt.
     pub(super) recovered_without_attempt: bool,
-    /// Clients that wait for the reply; none once the message is accepted. A client that submits a message again
-    /// on a new connection waits twice, and both connections must get the same reply.
+    /// Clients that wait for the reply; empty once the message is accepted. A client that submits the message
+    /// again on a new connection is listed twice, and both connections must get the same reply.
     clients: Vec<oneshot::Sender<ClientReply>>,
 }
 
@@ -61,19 +61,20 @@
         }
     }
 
-    /// The number of the next attempt, which counts as started from now on.
+    /// Returns the number of the next attempt and counts it as started.
     pub(super) fn assign_attempt_number(&mut self) -> usize {
         let number = self.attempts;
         self.attempts += 1;
         number
     }
 
-    /// Number of the attempt that was started last.
+    /// The number of the attempt that was started last.
     pub(super) fn last_attempt(&self) -> Option<usize> {
         self.attempts.checked_sub(1)
     }
 
-    /// Adds a client that waits for the reply to this message, or rejects it if too many wait already.
+    /// Adds a client that waits for the reply, or rejects the client if the maximum number is already
+    /// waiting.
     pub(super) fn add_client(&mut self, client: oneshot::Sender<ClientReply>) {
         if self.clients.len() < MAX_CLIENTS_PER_MESSAGE {
             self.clients.push(client);
@@ -83,12 +84,12 @@
         }
     }
 
-    /// Whether every client has disconnected that waited for the reply.
+    /// Whether all clients that waited for the reply have disconnected.
     pub(super) fn is_abandoned_by_clients(&self) -> bool {
         self.clients.iter().all(oneshot::Sender::is_closed)
     }
 
-    /// Sends the reply to every client that waits. Returns whether any of them received it.
+    /// Sends the reply to all waiting clients. Returns whether any of them received it.
     pub(super) fn reply(&mut self, reply: ClientReply) -> bool {
         let mut received = false;
         for client in self.clients.drain(..) {
@@ -102,10 +103,10 @@
 #[derive(Default)]
 pub(super) struct OpenMessages {
     by_number: HashMap<MessageId, OpenMessage>,
-    /// Numbers by the ids that the clients gave.
+    /// Message numbers by client id.
     numbers: HashMap<String, MessageId>,
     next_number: MessageId,
-    /// Submitted in this turn, in their order: the commit of the turn accepts or rejects them.
+    /// Messages submitted in this turn, in order of arrival. The commit of the turn accepts or rejects them.
     submitted: Vec<MessageId>,
 }
 
@@ -135,17 +136,17 @@
         self.by_number.get_mut(&id)
     }
 
-    /// The message to which a client gave this id.
+    /// The open message with this client id.
     pub(super) fn by_client_id(&self, client_id: &str) -> Option<&OpenMessage> {
         self.by_number.get(self.numbers.get(client_id)?)
     }
 
-    /// The message to which a client gave this id.
+    /// The open message with this client id.
     pub(super) fn by_client_id_mut(&mut self, client_id: &str) -> Option<&mut OpenMessage> {
         self.by_number.get_mut(self.numbers.get(client_id)?)
     }
 
-    /// A number that no message had or will have.
+    /// Returns a new message number, which is never assigned again.
     pub(super) fn assign_number(&mut self) -> MessageId {
         let number = self.next_number;
         self.next_number += 1;
@@ -167,19 +168,20 @@
         id
     }
 
-    /// The messages that were submitted in this turn, in their order. Some may have been removed since.
+    /// Takes the messages that were submitted in this turn, in order of arrival. Some may have been removed
+    /// since.
     pub(super) fn take_submitted(&mut self) -> Vec<MessageId> {
         std::mem::take(&mut self.submitted)
     }
 
-    /// Removes a message for which nothing is left to do.
+    /// Removes a message that is complete.
     pub(super) fn remove(&mut self, id: MessageId) -> Option<OpenMessage> {
         let message = self.by_number.remove(&id)?;
         self.numbers.remove(&message.content.id);
         Some(message)
     }
 
-    /// Removes all messages: a successor owns them.
+    /// Removes all messages. Called once a successor owns them.
     pub(super) fn clear(&mut self) {
         self.by_number.clear();
         self.numbers.clear();
--- a/src/forwarder/runtime/open_messages/tests.rs
+++ b/src/forwarder/runtime/open_messages/tests.rs
@@ -26,11 +26,11 @@
     assert!(!messages.contains(id));
     assert!(messages.by_client_id("m-1").is_none());
     assert!(messages.is_empty());
-    assert_ne!(messages.insert(submitted("m-1").0), id, "numbers are not used again");
+    assert_ne!(messages.insert(submitted("m-1").0), id, "numbers are not reused");
 }
 
 #[test]
-fn only_submitted_messages_wait_for_the_commit_and_only_once() {
+fn only_submitted_messages_are_taken_for_the_commit_and_only_once() {
     let mut messages = OpenMessages::default();
     messages.insert(submitted("recovered").0);
     let first = messages.insert_submitted(submitted("m-1").0);
