--- a/src/forwarder/runtime/decisions.rs
+++ b/src/forwarder/runtime/decisions.rs
@@ -1,14 +1,14 @@
-//! The decision module, together with the events and actions that are on their way between it and the runtime.
+//! The decision module, with the events and actions that are queued between it and the runtime.
 
 use crate::decision::Balancer;
 use crate::interface::{Action, DestinationBacklog, Event, LearnedState, Micros, Settings};
 
-/// Owns the [`Balancer`], the actions that it requested and the wake-up time that it requested.
+/// Owns the [`Balancer`], and the actions and the wake-up that it has requested.
 pub(super) struct Decisions {
     balancer: Balancer,
-    /// Requested since the actions were last taken.
+    /// Actions that were requested since the last [`Decisions::take_actions`].
     actions: Vec<Action>,
-    /// Results of the actions themselves: they are delivered at the start of the next turn.
+    /// Results of executing actions, which are delivered at the start of the next turn.
     deferred: Vec<Event>,
     wake_at: Option<Micros>,
 }
@@ -24,22 +24,22 @@
         }
     }
 
-    /// Delivers an event. The actions that it causes are kept until [`Decisions::take_actions`].
+    /// Delivers an event. The actions that the module returns are kept until [`Decisions::take_actions`].
     pub(super) fn notify(&mut self, now: Micros, event: Event) {
         self.balancer.on_event(now, event, &mut self.actions);
     }
 
-    /// Keeps an event for the start of the next turn.
+    /// Defers an event to the start of the next turn.
     pub(super) fn defer(&mut self, event: Event) {
         self.deferred.push(event);
     }
 
-    /// Whether events wait for the next turn.
+    /// Whether events are deferred to the next turn.
     pub(super) fn has_deferred(&self) -> bool {
         !self.deferred.is_empty()
     }
 
-    /// Delivers the events that were kept for this turn.
+    /// Delivers the deferred events.
     pub(super) fn notify_deferred(&mut self, now: Micros) {
         for event in std::mem::take(&mut self.deferred) {
             self.notify(now, event);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Requests a wake-up at this time, or earlier if one was requested before.
+    /// Requests a wake-up at this time. An earlier one that was requested before stays in force.
     pub(super) fn request_wake(&mut self, at: Micros) {
         self.wake_at = Some(self.wake_at.map_or(at, |earlier| earlier.min(at)));
     }
@@ -64,7 +64,7 @@
         self.wake_at
     }
 
-    /// The actions that were requested since the last call, in their order.
+    /// Takes the actions that were requested since the last call, in order.
     pub(super) fn take_actions(&mut self) -> Vec<Action> {
         std::mem::take(&mut self.actions)
     }
@@ -74,7 +74,7 @@
         self.balancer.learned(now)
     }
 
-    /// What delays the messages of the destinations with the most of them.
+    /// What delays the messages of the destinations that have the most messages.
     pub(super) fn backlog(&self, now: Micros) -> Vec<DestinationBacklog> {
         self.balancer.backlog(now)
     }
--- a/src/forwarder/runtime/idle_connections.rs
+++ b/src/forwarder/runtime/idle_connections.rs
@@ -8,11 +8,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An idle connection is closed early, by the idle timeout divided by this, so that no request is written to it while
-/// the other side closes it.
+/// An idle connection is closed earlier than the idle timeout, by the timeout divided by this, so that no
+/// request is written to it while the other side closes it.
 const IDLE_TIMEOUT_MARGIN_DIVISOR: u32 = 8;
 
-/// A connection without a call.
+/// A connection on which no call is in flight.
 struct IdleConnection {
     since: Instant,
     connection: Connection,
@@ -24,35 +24,37 @@
     }
 }
 
-/// A connection that was idle and is used again.
+/// An idle connection that is used again.
 pub(super) struct ReusedConnection {
     pub(super) connection: Connection,
-    /// How long it was idle.
+    /// How long the connection was idle.
     pub(super) idle_for: Micros,
 }
 
 /// The connections of one endpoint.
 #[derive(Default)]
 struct EndpointConnections {
-    /// In the order in which they became idle.
+    /// The idle connections, in the order in which they became idle.
     idle: Vec<IdleConnection>,
     ages: IdleAgeStatistics,
 }
 
-/// Owns the idle connections to all endpoints, and what is known about how long they stay usable.
+/// Owns the idle connections to all endpoints, and the statistics of how long they stay usable.
 pub(super) struct IdleConnectionPool {
-    /// Idle connections that may be kept.
+    /// Maximum number of idle connections.
     capacity: usize,
     timeout: Duration,
     by_endpoint: BTreeMap<EndpointId, EndpointConnections>,
-    /// Statistics over all endpoints: a device close to this process may drop idle connections of any of them.
+    /// Statistics over all endpoints: a network device close to this process may drop idle connections to any
+    /// of them.
     ages: IdleAgeStatistics,
-    /// Idle connections as of the last [`IdleConnectionPool::close_expired`], and those added since.
+    /// The number of idle connections at the last [`IdleConnectionPool::close_expired`], plus those added
+    /// since.
     count: usize,
 }
 
 impl IdleConnectionPool {
-    /// A pool for at most this many connections, which the endpoints close after the idle timeout.
+    /// A pool for at most `capacity` connections, which the endpoints close after `idle_timeout`.
     pub(super) fn new(capacity: usize, idle_timeout: Micros) -> Self {
         let idle_timeout = Duration::from_micros(idle_timeout.max(0) as u64);
         IdleConnectionPool {
@@ -64,12 +66,13 @@
         }
     }
 
-    /// Idle connections that may be kept.
+    /// Maximum number of idle connections.
     pub(super) fn capacity(&self) -> usize {
         self.capacity
     }
 
-    /// Idle connections as of the last [`IdleConnectionPool::close_expired`], and those added since.
+    /// The number of idle connections at the last [`IdleConnectionPool::close_expired`], plus those added
+    /// since.
     pub(super) fn len(&self) -> usize {
         self.count
     }
@@ -81,7 +84,7 @@
         self.count += 1;
     }
 
-    /// Records whether a connection was still usable after it had been idle for this long.
+    /// Records whether a connection was still alive after it had been idle for `idle_for`.
     pub(super) fn record_reuse(
         &mut self,
         now: Micros,
@@ -93,9 +96,9 @@
         self.by_endpoint.entry(endpoint).or_default().ages.record(now, idle_for, reuse);
     }
 
-    /// Takes the connection that became idle last, unless even that is too old. With `proven_only`, only a
-    /// connection is taken whose age is known to be safe: a call that must not be executed twice would be lost on
-    /// a stale one.
+    /// Takes the connection that became idle last, unless it has been idle for too long. With `proven_only`,
+    /// a connection is only taken if connections are known to be alive at its age: the messages of a call
+    /// that must not be executed twice fail if the connection turns out to be dead.
     pub(super) fn take(
         &mut self,
         now: Micros,
@@ -131,12 +134,12 @@
         self.by_endpoint.values_mut().for_each(|connections| connections.idle.clear());
     }
 
-    /// Closes the idle connections to an endpoint that is forgotten, and drops its statistics.
+    /// Closes the idle connections to an endpoint and drops its statistics.
     pub(super) fn forget(&mut self, endpoint: EndpointId) {
         self.by_endpoint.remove(&endpoint);
     }
 
-    /// Closes the connections that are broken or too old, and counts the others.
+    /// Closes the idle connections that are broken or have been idle for too long, and counts the others.
     pub(super) fn close_expired(&mut self, now: Micros) {
         let general_max_age = self.max_age(now);
         self.count = 0;
@@ -147,13 +150,13 @@
         }
     }
 
-    /// How long a connection to any endpoint may be idle.
+    /// How long a connection may be idle, by the idle timeout and the statistics over all endpoints.
     fn max_age(&self, now: Micros) -> Duration {
         limit_to_usable_age(self.timeout, &self.ages, now)
     }
 }
 
-/// The shorter one of `limit` and the age up to which the statistics call connections usable.
+/// The smaller of `limit` and the age up to which connections are usable according to the statistics.
 fn limit_to_usable_age(limit: Duration, ages: &IdleAgeStatistics, now: Micros) -> Duration {
     ages.max_usable_age(now).map_or(limit, |age| limit.min(Duration::from_micros(age.unsigned_abs())))
 }
--- a/src/forwarder/runtime/notice_queue.rs
+++ b/src/forwarder/runtime/notice_queue.rs
@@ -1,4 +1,4 @@
-//! The notices that have to be sent.
+//! The notices that have to be sent to the platform.
 
 use super::Runtime;
 use crate::forwarder::journal::Record;
@@ -9,33 +9,33 @@
 /// Upper bound of the notices in one request to the platform.
 const MAX_NOTICES_PER_BATCH: usize = 64;
 
-/// A notice that was not sent yet.
+/// A notice that has not been sent yet.
 struct PendingNotice {
     notice: Notice,
     /// When its message expires.
     expires_at: Micros,
 }
 
-/// Owns the notices that were not sent yet.
+/// Owns the notices that have not been sent yet.
 pub(super) struct NoticeQueue {
     pending: Vec<PendingNotice>,
-    /// The notice sender holds the receiver. Its bound is one batch.
+    /// The notice sender holds the receiver. The capacity of the channel is one batch.
     batches: Sender<Vec<Notice>>,
 }
 
 impl NoticeQueue {
-    /// An empty queue for the notice sender that receives `batches`.
+    /// An empty queue whose notices are sent to `batches`.
     pub(super) fn new(batches: Sender<Vec<Notice>>) -> Self {
         NoticeQueue { pending: Vec::new(), batches }
     }
 
-    /// Adds a notice behind the others, for a message that expires at this time.
+    /// Appends a notice about a message that expires at `expires_at`.
     pub(super) fn push(&mut self, notice: Notice, expires_at: Micros) {
         self.pending.push(PendingNotice { notice, expires_at });
     }
 
-    /// Passes a batch to the notice sender, unless its queue is full: the first notices of messages that expire at
-    /// this time or before.
+    /// Passes the first notices about messages that expire no later than `expire_until` to the notice sender,
+    /// as one batch. Does nothing while the notice sender's queue is full.
     fn send_batch(&mut self, expire_until: Micros) {
         let is_sendable = |pending: &PendingNotice| pending.expires_at <= expire_until;
         if !self.pending.iter().any(is_sendable) {
@@ -49,9 +49,10 @@
 }
 
 impl Runtime {
-    /// Sends notices. While the journal has unwritten records, only those of expired messages: a client that has been
-    /// notified of a rejection may submit its message again, and the next process must not deliver the rejected one as
-    /// well. It delivers no message that has expired, and a second notice of that does no harm.
+    /// Sends notices; while the journal has unwritten records, only those about expired messages. A client
+    /// that is notified of a rejection may submit the message again. If this process then ended before the
+    /// rejection is written, the next one would deliver the rejected message as well. An expired message is
+    /// never delivered, and a second notice about it does no harm.
     pub(super) fn send_notices(&mut self, now: Micros) {
         let is_flushed = self.journal.lock().is_flushed();
         self.notices.send_batch(if is_flushed { Micros::MAX } else { now });
@@ -61,8 +62,8 @@
     pub(super) fn complete_notified(&mut self, notices: Vec<Notice>) {
         let now_unix_ms = self.unix_clock.now_unix_ms();
         for Notice { message, outcome } in notices {
-            // The client submitted it again, and it was accepted: the notice concerns the earlier submission and must
-            // not complete this one.
+            // The client has submitted the message again and it was accepted. The notice concerns the earlier
+            // submission and must not complete the new one.
             if self.messages.by_client_id(&message).is_some_and(|resubmitted| resubmitted.accepted) {
                 continue;
             }
