--- a/src/forwarder/runtime/clock.rs
+++ b/src/forwarder/runtime/clock.rs
@@ -8,7 +8,7 @@
 pub(super) const MICROS_PER_MILLISECOND: Micros = 1000;
 
 /// A monotonic clock in microseconds since the start of the process. Times that have to survive a restart are
-/// those of a [`UnixClock`](crate::forwarder::clock::UnixClock).
+/// taken from a [`UnixClock`](crate::forwarder::clock::UnixClock) instead.
 pub(super) struct Clock {
     started_at: Instant,
 }
@@ -19,7 +19,7 @@
         Clock { started_at: Instant::now() }
     }
 
-    /// The present time.
+    /// The current time.
     pub(super) fn now(&self) -> Micros {
         self.micros(Instant::now())
     }
--- a/src/forwarder/runtime/shutdown.rs
+++ b/src/forwarder/runtime/shutdown.rs
@@ -1,4 +1,4 @@
-//! The lifecycle of the process, and the time line of its graceful shutdown.
+//! The lifecycle of the process and the time limits of its graceful shutdown.
 
 use crate::forwarder::server::LifecyclePhase;
 use std::time::Duration;
@@ -6,14 +6,15 @@
 
 /// New clients are served until this long after SIGTERM.
 const CLIENT_GRACE_PERIOD: Duration = Duration::from_millis(400);
-/// No call starts later than this after SIGTERM: it could still be in flight at the end, where it would have to
-/// count as possibly executed.
+/// No call starts later than this after SIGTERM. It could still be in flight when the process ends, and would
+/// then count as possibly executed.
 const CALL_START_PERIOD: Duration = Duration::from_millis(1500);
-/// Calls that are still in flight this long after SIGTERM are no longer awaited.
+/// Calls that are still in flight this long after SIGTERM are no longer waited for.
 const CALL_COMPLETION_PERIOD: Duration = Duration::from_millis(3200);
-/// The process ends at the latest this long after SIGTERM, before it is killed.
+/// The process ends at the latest this long after SIGTERM, so that it is not killed.
 const MAX_SHUTDOWN_TIME: Duration = Duration::from_millis(3500);
-/// How long a process waits for SIGTERM once its successor owns everything and nothing is left to do here.
+/// How long a process waits for SIGTERM after its successor has become the owner of the messages. It ends
+/// without SIGTERM then, once it has no clients, calls and pending replies left.
 const MAX_IDLE_AFTER_UPGRADE: Duration = Duration::from_secs(10);
 
 /// How far this process has handed over to a successor.
@@ -21,45 +22,45 @@
 pub(super) enum HandoverStage {
     /// This process owns the messages.
     NotStarted,
-    /// It has handed over, and the successor has not confirmed that it owns the messages.
+    /// This process has handed over, and the successor has not confirmed yet that it owns the messages.
     AwaitingConfirmation,
     /// The successor owns the messages.
     Complete {
-        /// When its confirmation was handled.
+        /// When this process handled the confirmation.
         since: Instant,
     },
 }
 
-/// What is still to be done before the process may end.
+/// The work that keeps the process from ending.
 pub(super) struct RemainingWork {
     /// Clients have open connections.
     pub(super) clients: bool,
-    /// The journal has records that are not written yet.
+    /// The journal has unwritten records.
     pub(super) journal: bool,
-    /// Calls are in flight, or replies of the successor are awaited.
+    /// Calls are in flight, or replies of the successor are outstanding.
     pub(super) calls_or_replies: bool,
 }
 
-/// Owns the state that the phases of the process are derived from.
+/// Owns the state from which the lifecycle phase of the process is derived.
 pub(super) struct Lifecycle {
     /// When SIGTERM was received.
     terminated_at: Option<Instant>,
-    /// The decision module accepts new clients.
+    /// Whether the decision module accepts new clients.
     accepts_clients: bool,
 }
 
 impl Lifecycle {
-    /// A process that serves clients.
+    /// The lifecycle of a process that serves clients.
     pub(super) fn new() -> Self {
         Lifecycle { terminated_at: None, accepts_clients: true }
     }
 
-    /// SIGTERM was received. Only the first one counts.
+    /// Starts the shutdown, on SIGTERM. Later signals do not change its time limits.
     pub(super) fn terminate(&mut self) {
         self.terminated_at.get_or_insert_with(Instant::now);
     }
 
-    /// The decision module has decided whether clients are accepted.
+    /// Records whether the decision module accepts new clients.
     pub(super) fn set_accepts_clients(&mut self, accepts_clients: bool) {
         self.accepts_clients = accepts_clients;
     }
@@ -74,13 +75,13 @@
         self.time_since_termination().is_none_or(|elapsed| elapsed < CALL_START_PERIOD)
     }
 
-    /// Whether calls in flight are no longer awaited.
+    /// Whether calls in flight are no longer waited for.
     pub(super) fn is_past_call_completion(&self) -> bool {
         self.time_since_termination().is_some_and(|elapsed| elapsed >= CALL_COMPLETION_PERIOD)
     }
 
-    /// The phase of a process; `has_attempts` and `has_messages` tell whether attempts are in flight and messages
-    /// are open.
+    /// The phase of the process. `has_attempts` is whether attempts are in flight, `has_messages` whether
+    /// messages are open.
     pub(super) fn phase(
         &self,
         handover: HandoverStage,
@@ -120,7 +121,7 @@
     }
 }
 
-/// Whether the server may stop reading requests, this long after SIGTERM.
+/// Whether the server may stop reading requests when `elapsed` has passed since SIGTERM.
 fn may_stop_serving(elapsed: Duration, has_attempts: bool, has_messages: bool) -> bool {
     let all_calls_ended = !has_attempts && (elapsed >= CALL_START_PERIOD || !has_messages);
     elapsed >= CALL_COMPLETION_PERIOD || (elapsed >= CLIENT_GRACE_PERIOD && all_calls_ended)
--- a/src/forwarder/runtime/shutdown/tests.rs
+++ b/src/forwarder/runtime/shutdown/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn open_messages_are_awaited_while_calls_start_and_attempts_until_the_completion_period_ends() {
+async fn open_messages_are_awaited_until_no_call_may_start_and_attempts_until_the_completion_period_ends() {
     let mut lifecycle = Lifecycle::new();
     lifecycle.terminate();
     advance(CALL_START_PERIOD - MILLISECOND).await;
@@ -56,12 +56,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_process_ends_with_its_work_or_when_its_time_is_over() {
+async fn the_process_ends_once_no_work_remains_or_the_maximum_shutdown_time_has_passed() {
     let mut lifecycle = Lifecycle::new();
-    assert!(
-        !lifecycle.is_complete(HandoverStage::NotStarted, &NOTHING_REMAINS),
-        "nobody has asked it to end"
-    );
+    assert!(!lifecycle.is_complete(HandoverStage::NotStarted, &NOTHING_REMAINS), "no SIGTERM was received");
     lifecycle.terminate();
     assert!(lifecycle.is_complete(HandoverStage::NotStarted, &NOTHING_REMAINS));
     assert!(!lifecycle.is_complete(HandoverStage::NotStarted, &JOURNAL_REMAINS));
