--- a/src/forwarder/runtime/admin.rs
+++ b/src/forwarder/runtime/admin.rs
@@ -10,8 +10,8 @@
 use std::error::Error;
 
 impl Runtime {
-    /// Executes a request, unless its operator has stopped waiting: a command that cannot be acknowledged must
-    /// have no effect.
+    /// Executes the command of a request, unless the operator has stopped waiting: a command that cannot be
+    /// acknowledged must have no effect.
     pub(super) fn handle_admin_request(&mut self, now: Micros, request: AdminRequest) {
         if request.reply.is_closed() {
             return;
@@ -24,7 +24,7 @@
     /// Executes a command and logs it.
     pub(super) fn execute_admin_command(&mut self, now: Micros, command: AdminCommand) -> AdminReply {
         let reply = match &command {
-            // Sent often by monitoring, and so not logged.
+            // Not logged, because monitoring sends it often.
             AdminCommand::Ready => return self.readiness(),
             AdminCommand::Disable(uid) => self.set_banned(now, uid, true),
             AdminCommand::Enable(uid) => self.set_banned(now, uid, false),
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Starts or ends the ban of an endpoint. The ban is written to the journal before it takes effect. A repeated
-    /// command changes nothing.
+    /// Starts or ends the ban of an endpoint. The ban is written to the journal before it takes effect. A
+    /// repeated command changes nothing.
     fn set_banned(&mut self, now: Micros, uid: &str, banned: bool) -> AdminReply {
         let is_banned = self.journal.lock().is_banned(uid);
         if !is_banned && !self.endpoints.was_ever_listed(uid) {
--- a/src/forwarder/runtime/log.rs
+++ b/src/forwarder/runtime/log.rs
@@ -1,11 +1,11 @@
-//! The periodic log lines.
+//! The log lines about the state of the runtime: at its start and end, at SIGTERM and periodically.
 
 use super::Runtime;
 use super::clock::MICROS_PER_MILLISECOND;
 use crate::interface::{DestinationBacklog, Micros};
 
 impl Runtime {
-    /// Logs the state that this process starts with.
+    /// Logs the endpoint list and the open messages that this process starts with.
     pub(super) fn log_start(&self) {
         let revision = self.endpoints.revision().map_or("none".to_owned(), |revision| revision.to_string());
         eprintln!(
@@ -14,16 +14,16 @@
         );
     }
 
-    /// Logs that SIGTERM was received, and what is still to be done.
+    /// Logs that SIGTERM was received, with the open messages and the calls in flight.
     pub(super) fn log_termination(&self) {
         eprintln!(
-            "runtime: SIGTERM; {} messages open, {} calls in flight",
+            "runtime: SIGTERM received, shutting down; {} messages open, {} calls in flight",
             self.messages.len(),
             self.calls.len()
         );
     }
 
-    /// Logs what is left when the process ends.
+    /// Logs the messages and calls that are left when the process ends.
     pub(super) fn log_end(&self) {
         eprintln!(
             "runtime: ends with {} messages open, {} calls in flight",
@@ -32,7 +32,7 @@
         );
     }
 
-    /// Logs what happened since the last time and what delays messages, if it is time to do so.
+    /// Logs the metrics of the interval and what delays messages, if the interval has ended.
     pub(super) fn log_if_due(&mut self, now: Micros) {
         let Some(metrics) = self.metrics.take_if_due() else { return };
         eprintln!(
@@ -49,8 +49,8 @@
 
 fn log_backlog(backlog: &DestinationBacklog) {
     eprintln!(
-        "runtime: destination {}: {} messages queued, {} endpoints, {} calls in flight, degraded {}, outage {}, \
-         rate {:.1?}, ready in {} ms, Retry-After {} ms",
+        "runtime: destination {}: {} messages queued, {} endpoints, {} calls in flight, degraded {}, \
+         outage {}, rate {:.1?}, ready in {} ms, Retry-After {} ms",
         backlog.destination,
         backlog.messages,
         backlog.endpoints,
