--- a/src/forwarder/runtime/call_in_flight.rs
+++ b/src/forwarder/runtime/call_in_flight.rs
@@ -10,7 +10,7 @@
 /// A call in flight.
 pub(super) struct CallInFlight {
     pub(super) endpoint: EndpointId,
-    /// The number of its attempts that have not ended.
+    /// The number of attempts of the call that have not ended.
     pub(super) attempts_left: usize,
     /// How long the connection was idle before the call; 0 for a new connection.
     pub(super) idle_for: Micros,
--- a/src/forwarder/runtime/endpoints.rs
+++ b/src/forwarder/runtime/endpoints.rs
@@ -13,7 +13,7 @@
 
 /// An endpoint that is listed, or was removed from the list and is not forgotten yet.
 pub(super) struct Endpoint {
-    /// Its latest record in the list.
+    /// The latest record of the endpoint in the list.
     pub(super) record: EndpointRecord,
     /// The zone in which the endpoint was first listed. The journal records it with each attempt.
     pub(super) zone: String,
--- a/src/forwarder/runtime/notice_queue.rs
+++ b/src/forwarder/runtime/notice_queue.rs
@@ -12,7 +12,7 @@
 /// A notice that has not been sent yet.
 struct PendingNotice {
     notice: Notice,
-    /// When its message expires.
+    /// When the message of the notice expires.
     expires_at: Micros,
 }
 
