--- a/src/forwarder/journal/compaction.rs
+++ b/src/forwarder/journal/compaction.rs
@@ -1,4 +1,4 @@
-//! Compaction: the file is replaced by a copy that contains only the records that are still needed.
+//! Compaction: replaces the file with a copy that contains only the records that are still needed.
 
 use super::encoding::{Frames, encode};
 use super::error::JournalError;
@@ -6,29 +6,31 @@
 use super::records::Record;
 use super::{Journal, is_recent};
 
-/// Time between a failed compaction and the next one.
+/// Delay before a compaction is retried after a failure.
 const COMPACTION_RETRY_DELAY_MS: u64 = 100;
 
 impl<F: FileSystem> Journal<F> {
-    /// Compacts the file. If it fails, the file is unchanged.
+    /// Compacts the file. If this fails, the records in the file are unchanged.
     pub(super) fn compact(&mut self, now_unix_ms: u64) -> Result<(), JournalError> {
         let compacted = self.try_compact(now_unix_ms);
         if let Err(error) = &compacted {
-            eprintln!("journal: not compacted: {error}");
+            eprintln!("journal: compaction failed; keeping the current file: {error}");
         }
         self.compaction_failed_at_unix_ms = compacted.is_err().then_some(now_unix_ms);
         compacted
     }
 
-    /// Compacts the file, unless that failed a moment ago: it reads and writes the whole file, and would use up the
-    /// processor if it were tried for each message. Returns whether the file was compacted.
-    pub(super) fn compact_after_pause(&mut self, now_unix_ms: u64) -> bool {
+    /// Compacts the file, unless a compaction failed less than [`COMPACTION_RETRY_DELAY_MS`] ago. Compaction
+    /// reads and writes the whole file, and would use up the processor if it were retried for each message.
+    /// Returns whether the file was compacted.
+    pub(super) fn compact_unless_paused(&mut self, now_unix_ms: u64) -> bool {
         let is_paused = is_recent(self.compaction_failed_at_unix_ms, COMPACTION_RETRY_DELAY_MS, now_unix_ms);
         !is_paused && self.compact(now_unix_ms).is_ok()
     }
 
     fn try_compact(&mut self, now_unix_ms: u64) -> Result<(), JournalError> {
-        // The bound holds for the file and its copy. A tail behind the complete part would come on top.
+        // A torn tail is removed first: the bound holds for the file and its copy, and does not account for
+        // it.
         self.file.repair()?;
         self.retained.outcomes.drop_expired(now_unix_ms);
         let file = self.file.read()?;
--- a/src/forwarder/journal/mod.rs
+++ b/src/forwarder/journal/mod.rs
@@ -1,8 +1,8 @@
-//! The journal: the accepted messages and their state, in a folder that outlasts the process.
+//! Write-ahead journal of the accepted messages and their state, kept in the state folder.
 //!
-//! One append-only file of checksummed frames. The records of one turn of the runtime are appended by one
-//! write, before the turn replies to a client or writes to an endpoint. When the process starts, the records
-//! are replayed.
+//! The journal is one append-only file of checksummed frames. The records of one turn of the runtime are
+//! appended by one write, before the turn replies to a client or writes to an endpoint. When the process
+//! starts, the records are replayed.
 
 mod capacity;
 mod compaction;
@@ -32,45 +32,44 @@
 use std::path::Path;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Upper bound of the record of an accepted message without its body: an id, a key and two names, which are
-/// bounded where messages are submitted.
+/// Upper bound of the record of an accepted message without its body. The record contains an id, a key and
+/// two names, whose lengths are limited when a message is submitted.
 const MAX_ACCEPTED_RECORD_BYTES: u64 = 640;
 
-/// Time between a failed write and the next one.
+/// Delay before a write is retried after a failure.
 pub(crate) const WRITE_RETRY_DELAY_MS: u64 = 50;
 
 /// The open journal.
 pub(crate) struct Journal<F: FileSystem = StandardFileSystem> {
     file: JournalFile<F>,
-    /// Upper bound of the file and its compacted copy together.
+    /// Upper bound of the total length of the file and its compacted copy.
     max_bytes: u64,
     retained: RetainedState,
-    /// Frames that are appended by the next commit that succeeds.
+    /// Frames to be appended by the next successful commit.
     pending: Vec<u8>,
-    /// When the last write failed. `None` if it succeeded.
+    /// When the last write failed, or `None` if it succeeded.
     write_failed_at_unix_ms: Option<u64>,
-    /// When the last compaction failed. `None` if it succeeded.
+    /// When the last compaction failed, or `None` if it succeeded.
     compaction_failed_at_unix_ms: Option<u64>,
 }
 
-/// The journal as the runtime and the calls to endpoints share it.
+/// A journal that the runtime and the calls to endpoints share.
 #[derive(Clone)]
 pub(crate) struct SharedJournal(Arc<Mutex<Journal>>);
 
 impl SharedJournal {
-    /// Shares this journal.
     pub(crate) fn new(journal: Journal) -> Self {
         SharedJournal(Arc::new(Mutex::new(journal)))
     }
 
-    /// Locks the journal. The guard is held for one statement and never across an await.
+    /// Locks the journal. Callers must hold the guard for one statement only, never across an await.
     pub(crate) fn lock(&self) -> MutexGuard<'_, Journal> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Journal {
-    /// Opens the journal of the folder, see [`Journal::open_in`].
+    /// Opens the journal in `folder` on the standard file system, see [`Journal::open_in`].
     ///
     /// # Errors
     ///
@@ -85,8 +84,8 @@
 }
 
 impl<F: FileSystem> Journal<F> {
-    /// Opens the journal of the folder and replays it: damaged frames are skipped and a torn tail is cut off.
-    /// Also returns the open messages, in the order of their acceptance.
+    /// Opens the journal in `folder` and replays it, skipping damaged frames and truncating a torn tail. Also
+    /// returns the open messages, in the order of their acceptance.
     ///
     /// # Errors
     ///
@@ -111,12 +110,12 @@
         journal.replay_frames(&content, &mut replay, now_unix_ms);
         let tail = &content[journal.file.length() as usize..];
         if !tail.is_empty() {
-            journal.cut_off(tail, &mut replay);
+            journal.discard_tail(tail, &mut replay);
         }
         Ok((journal, replay.into_open_messages()))
     }
 
-    /// Replays the undamaged frames. The file is known up to the last of them then.
+    /// Replays the undamaged frames, and sets the complete length of the file to the end of the last one.
     fn replay_frames(&mut self, content: &[u8], replay: &mut Replay, now_unix_ms: u64) {
         for frame in Frames::of(content) {
             let damaged_bytes = frame.start as u64 - self.file.length();
@@ -127,39 +126,42 @@
                      {in_doubt} open messages may have been executed"
                 );
             }
-            self.file.set_known_length(frame.end as u64);
+            self.file.set_complete_length(frame.end as u64);
             self.retained.apply(&frame.record, frame.size(), now_unix_ms);
             replay.apply(frame.record);
         }
     }
 
-    /// Cuts off the bytes behind the last undamaged frame. If the file cannot be shortened now, it is shortened
-    /// before the next write.
-    fn cut_off(&mut self, tail: &[u8], replay: &mut Replay) {
-        // A process that is killed leaves the front part of a frame, before it acted on any of its records. A
-        // frame of full length that cannot be read was damaged later, after the process may have acted on it.
+    /// Truncates the file after the last undamaged frame. If truncation fails, it is retried before the next
+    /// write.
+    fn discard_tail(&mut self, tail: &[u8], replay: &mut Replay) {
+        // A process that is killed during a write leaves an incomplete frame, and has not acted on its
+        // record. A frame of full length that cannot be read was damaged after the process may have acted on
+        // its record.
         let in_doubt = if starts_with_complete_frame(tail) { replay.mark_in_doubt() } else { 0 };
         eprintln!(
-            "journal: cut off {} bytes of a torn tail; {in_doubt} open messages may have been executed",
+            "journal: discarded {} bytes of a torn tail; {in_doubt} open messages may have been executed",
             tail.len()
         );
-        if let Err(error) = self.file.cut_off_tail() {
-            eprintln!("journal: {error}");
+        if let Err(error) = self.file.truncate_tail() {
+            eprintln!("journal: {error}; retrying before the next write");
         }
     }
 
-    /// Adds a record that must not be lost, such as the end of an attempt. It takes effect at once, and is
-    /// written by the next commit that succeeds.
+    /// Adds a record that must not be lost, such as the end of an attempt. The record takes effect at once,
+    /// and is written by the next successful commit.
     pub(crate) fn enqueue(&mut self, record: &Record, now_unix_ms: u64) {
         let size = encode(record, &mut self.pending);
         self.retained.apply(record, size, now_unix_ms);
     }
 
-    /// Writes the enqueued records and `records`. After a write has failed, the next one is only tried after a pause.
+    /// Writes the enqueued records and `records`. After a failed write, commits fail without writing for
+    /// [`WRITE_RETRY_DELAY_MS`].
     ///
     /// # Errors
     ///
-    /// The journal is full or cannot be written. `records` have no effect then, and the others stay enqueued.
+    /// The journal is full or cannot be written. In that case `records` have no effect, and the enqueued
+    /// records stay enqueued.
     pub(crate) fn commit(&mut self, records: &[Record], now_unix_ms: u64) -> Result<(), JournalError> {
         if is_recent(self.write_failed_at_unix_ms, WRITE_RETRY_DELAY_MS, now_unix_ms) {
             return Err(JournalError::Paused);
@@ -178,15 +180,15 @@
         Ok(())
     }
 
-    /// Writes the pending frames, after the repair of what an earlier failure has left.
+    /// Repairs the file after an earlier failure, then writes the pending frames.
     fn write_pending(&mut self, now_unix_ms: u64) -> Result<(), JournalError> {
         self.file.repair()?;
         if self.pending.is_empty() {
             return Ok(());
         }
         if !self.has_space_for_pending() {
-            // Compactions that are due may have failed, until the file reached its bound.
-            self.compact_after_pause(now_unix_ms);
+            // Earlier compactions may have failed, which let the file grow to its bound.
+            self.compact_unless_paused(now_unix_ms);
         }
         if !self.has_space_for_pending() {
             return Err(JournalError::Full);
@@ -194,7 +196,7 @@
         self.file.append(&self.pending)?;
         self.pending.clear();
         if self.write_failed_at_unix_ms.take().is_some() {
-            eprintln!("journal: written again");
+            eprintln!("journal: writes succeed again");
         }
         Ok(())
     }
@@ -203,46 +205,45 @@
         self.file.length() + self.pending.len() as u64 <= self.available_bytes()
     }
 
-    /// Upper bound of the file and its compacted copy together, beside a copy that could not be removed.
+    /// Upper bound of the total length of the file and its compacted copy, less the length of a copy that
+    /// could not be removed.
     fn available_bytes(&self) -> u64 {
         self.max_bytes.saturating_sub(self.file.leftover_copy_bytes())
     }
 
-    /// Starts the pause after a failed write, and logs the first failure.
+    /// Starts the retry delay after a failed write, and logs the first of several failures in a row.
     fn record_write_failure(&mut self, error: &JournalError, now_unix_ms: u64) {
         if matches!(error, JournalError::Full) {
             return;
         }
         if self.write_failed_at_unix_ms.replace(now_unix_ms).is_none() {
-            eprintln!(
-                "journal: {error}; no message is accepted and no call is written until it can be written"
-            );
+            eprintln!("journal: {error}; no message is accepted and no call is sent until a write succeeds");
         }
     }
 
     fn compact_if_due(&mut self, now_unix_ms: u64) {
         if self.capacity().is_compaction_due() {
-            // If it fails, the long file is still complete, and a later commit tries again.
-            self.compact_after_pause(now_unix_ms);
+            // If compaction fails, the file is still complete, and a later commit retries.
+            self.compact_unless_paused(now_unix_ms);
         }
     }
 
-    /// How a message ended, if this is still remembered.
+    /// The outcome of a message, if it is still remembered.
     pub(crate) fn final_outcome(&self, message: &str) -> Option<RememberedOutcome> {
         self.retained.outcomes.get(message)
     }
 
-    /// Whether operators have disabled the endpoint with this id.
+    /// Whether an operator has disabled the endpoint with this id.
     pub(crate) fn is_banned(&self, endpoint: &str) -> bool {
         self.retained.banned_endpoints.contains(endpoint)
     }
 
-    /// Whether all enqueued records have been written, and nothing else is in the file.
+    /// Whether all enqueued records have been written and the file has no torn tail.
     pub(crate) fn is_flushed(&self) -> bool {
         self.pending.is_empty() && !self.file.has_torn_tail()
     }
 
-    /// Whether this number of messages, with bodies of `body_bytes` in all, could be accepted. Compacts the
+    /// Whether `messages` more messages with `body_bytes` of bodies in total can be accepted. Compacts the
     /// file if that makes them fit.
     pub(crate) fn has_capacity(&mut self, messages: usize, body_bytes: usize, now_unix_ms: u64) -> bool {
         let new_bytes = body_bytes as u64 + messages as u64 * MAX_ACCEPTED_RECORD_BYTES;
@@ -253,7 +254,7 @@
         }
         capacity.is_compaction_worthwhile()
             && capacity.after_compaction().fits(new_bytes, reserved_bytes)
-            && self.compact_after_pause(now_unix_ms)
+            && self.compact_unless_paused(now_unix_ms)
             && self.capacity().fits(new_bytes, reserved_bytes)
     }
 
@@ -268,7 +269,8 @@
     }
 }
 
-/// Whether a failure at `failed_at_unix_ms` is at most `delay_ms` ago. The clock may have been set back since.
+/// Whether a failure happened less than `delay_ms` ago. The difference is absolute because the clock may have
+/// been set back since.
 fn is_recent(failed_at_unix_ms: Option<u64>, delay_ms: u64, now_unix_ms: u64) -> bool {
     failed_at_unix_ms.is_some_and(|failed_at| now_unix_ms.abs_diff(failed_at) < delay_ms)
 }
