--- a/src/forwarder/journal/capacity.rs
+++ b/src/forwarder/journal/capacity.rs
@@ -1,36 +1,38 @@
 //! Decides whether new records fit into the journal, and when to compact its file.
 
-/// A file is not compacted because of its length while it is at most this long.
+/// A file is compacted because of [`COMPACTION_RATIO`] only if it is longer than this.
 pub(super) const MIN_COMPACTION_BYTES: u64 = 256 << 10;
-/// A file is compacted for its length once it is this many times as long as its compacted copy.
+/// A file is compacted once it is more than this many times as long as its compacted copy.
 const COMPACTION_RATIO: u64 = 3;
-/// Compaction is worthwhile if it frees at least `max_bytes` divided by this.
+/// Compaction is worthwhile if it frees at least `max_bytes` divided by this number.
 const WORTHWHILE_DIVISOR: u64 = 16;
-/// A file is also compacted once it and its copy would leave less free than `max_bytes` divided by this. Later
-/// the copy would not fit beside it, and no message could be accepted until most of the open ones have ended.
+/// A file is also compacted once it and its copy would leave less free space than `max_bytes` divided by this
+/// number. Later the copy would not fit, and no message could be accepted until most open messages have
+/// ended.
 const COMPACTION_MARGIN_DIVISOR: u64 = 8;
 
-/// The space of the journal at one moment. All fields are in bytes.
+/// A snapshot of the space that the journal uses. All fields are in bytes.
 #[derive(Clone, Copy)]
 pub(super) struct Capacity {
-    /// Upper bound of the file and its copy together.
+    /// Upper bound of the total length of the file and its compacted copy.
     pub(super) max_bytes: u64,
     /// Length of the file.
     pub(super) file_length: u64,
-    /// Length of the frames that are still to be written.
+    /// Length of the frames that have not been written yet.
     pub(super) pending_bytes: u64,
     /// Estimated length of the file after a compaction.
     pub(super) compacted_length: u64,
-    /// What is reserved for records of open messages.
+    /// Bytes reserved for future records of open messages.
     pub(super) reserved_bytes: u64,
 }
 
 impl Capacity {
-    /// Whether new records of this length fit, which reserve more for the records to follow.
+    /// Whether new records of `new_bytes` fit, together with `newly_reserved_bytes` for the records that
+    /// follow.
     ///
-    /// Beside the file there must be space for its compacted copy or for the reserved records, whichever is
-    /// longer. Space for both is not needed: a copy is made while there is space for it, and messages can end
-    /// without one.
+    /// In addition to the file there must be space for its compacted copy or for the reserved records,
+    /// whichever is longer. Space for both is not needed: the file is compacted while its copy fits, and
+    /// messages can end without a compaction.
     pub(super) fn fits(&self, new_bytes: u64, newly_reserved_bytes: u64) -> bool {
         let compacted_length = self.compacted_length + new_bytes;
         let reserved_bytes = self.reserved_bytes + newly_reserved_bytes;
@@ -38,19 +40,19 @@
         self.file_length + self.pending_bytes + new_bytes + beside_file <= self.max_bytes
     }
 
-    /// The space that a compaction would leave.
+    /// The capacity after a compaction.
     pub(super) fn after_compaction(self) -> Self {
         Capacity { file_length: self.compacted_length, ..self }
     }
 
-    /// Whether a compaction would free enough space. Near the bound, where it frees very
-    /// little, a compaction for each accepted message would use up the processor while most messages are open.
+    /// Whether a compaction would free enough space. Near the bound, with most messages still open, a
+    /// compaction frees very little, and compacting for each accepted message would use up the processor.
     pub(super) fn is_compaction_worthwhile(&self) -> bool {
         self.file_length.saturating_sub(self.compacted_length) >= self.max_bytes / WORTHWHILE_DIVISOR
     }
 
-    /// Whether the file should be compacted now: it is long compared with its copy, or so long that its copy
-    /// will soon not fit beside it.
+    /// Whether the file should be compacted now: it is long compared with its compacted copy, or so long that
+    /// the copy will soon not fit.
     pub(super) fn is_compaction_due(&self) -> bool {
         let is_long = self.file_length > MIN_COMPACTION_BYTES.max(COMPACTION_RATIO * self.compacted_length);
         let with_copy = self.file_length + self.compacted_length.max(self.reserved_bytes);
--- a/src/forwarder/journal/open_messages.rs
+++ b/src/forwarder/journal/open_messages.rs
@@ -1,17 +1,17 @@
-//! The bytes of the file that belong to open messages, and those that are reserved for them.
+//! Counts the bytes that the records of open messages occupy in the file, and the bytes reserved for them.
 
 use std::collections::HashMap;
 
-/// Bytes reserved for each open message, so that the records of its attempts and of its end still fit once
-/// the file is full. Those records use the reserve up.
+/// Bytes reserved for each open message, so that the records of its attempts and of its end still fit when
+/// the file is full. Each of these records uses up some of the reserve.
 pub(super) const RESERVED_BYTES_PER_MESSAGE: u64 = 1024;
 
 /// The bytes of one open message.
 #[derive(Clone, Copy, Default)]
 struct MessageBytes {
-    /// Bytes of its records.
+    /// Bytes of the records written so far.
     written: u64,
-    /// Bytes reserved for its records to come.
+    /// Bytes reserved for records still to be written.
     reserved: u64,
 }
 
@@ -34,13 +34,13 @@
         self.written
     }
 
-    /// Bytes reserved for the records to come of all open messages.
+    /// Bytes reserved for future records of all open messages.
     pub(super) fn reserved_bytes(&self) -> u64 {
         self.reserved
     }
 
-    /// Counts the record of an accepted message, which is open and has its reserve from now on. The frame of the
-    /// record has `size` bytes.
+    /// Adds an accepted message, whose record has a frame of `size` bytes, and reserves bytes for its later
+    /// records.
     pub(super) fn open(&mut self, message: &str, size: u64) {
         let bytes = self.by_message.entry(message.to_owned()).or_default();
         bytes.written += size;
@@ -49,8 +49,8 @@
         bytes.reserved = RESERVED_BYTES_PER_MESSAGE;
     }
 
-    /// Counts another record, which uses up some of the reserve of its message. A record of a message that is not
-    /// open is not counted: nothing would ever end it.
+    /// Counts a later record of a message, which uses up some of its reserve. A record of a message that is
+    /// not open is not counted, because no later record would free its bytes.
     pub(super) fn add(&mut self, message: &str, size: u64) {
         let Some(bytes) = self.by_message.get_mut(message) else { return };
         bytes.written += size;
