--- a/src/forwarder/journal/encoding.rs
+++ b/src/forwarder/journal/encoding.rs
@@ -1,4 +1,4 @@
-//! The frames of the journal file.
+//! Encoding and decoding of the frames of the journal file.
 //!
 //! A frame is the length of its payload, the CRC-32 of its payload, and the payload. The payload is the
 //! length of a record's JSON, the JSON, and the body of the message, if the record has one. Numbers are
@@ -8,11 +8,11 @@
 use super::stored_record::StoredRecord;
 use bytes::Bytes;
 
-/// Length of one number.
+/// Length of an encoded number.
 const NUMBER_BYTES: usize = 4;
-/// Length of the header: payload length and checksum.
+/// Length of the header of a frame: payload length and checksum.
 const HEADER_BYTES: usize = 2 * NUMBER_BYTES;
-/// How the JSON of each record starts.
+/// First bytes of the JSON of each record.
 const JSON_START: &[u8] = b"{\"";
 
 /// Appends the frame of a record, and returns the length of the frame in bytes.
@@ -44,13 +44,13 @@
     number.try_into().ok().map(u32::from_le_bytes)
 }
 
-/// A record and its place in the file.
+/// A record and the position of its frame in the file.
 #[derive(Debug, PartialEq)]
 pub(super) struct Frame {
     pub(super) record: Record,
-    /// Offset of its first byte.
+    /// Offset of the first byte of the frame.
     pub(super) start: usize,
-    /// Offset behind its last byte.
+    /// Offset after the last byte of the frame.
     pub(super) end: usize,
 }
 
@@ -61,25 +61,25 @@
     }
 }
 
-/// The offset behind the frame that starts here, if the bytes reach that far. Its content is not checked.
+/// The offset after the frame at `start`, if the bytes reach that far. The payload is not checked.
 fn frame_end(bytes: &[u8], start: usize) -> Option<usize> {
     let end = start + HEADER_BYTES + read_number(bytes, start)? as usize;
     Some(end).filter(|end| *end <= bytes.len())
 }
 
-/// Whether the bytes are as long as the frame at their start says. Its content is not checked.
+/// Whether the bytes contain the full length of the frame at their start. The payload is not checked.
 pub(super) fn starts_with_complete_frame(bytes: &[u8]) -> bool {
     frame_end(bytes, 0).is_some()
 }
 
-/// The frame that starts here, if it is complete and undamaged.
+/// The frame at `start`, if it is complete and undamaged.
 fn decode(bytes: &[u8], start: usize) -> Option<Frame> {
     let end = frame_end(bytes, start)?;
     let payload = &bytes[start + HEADER_BYTES..end];
     let json_length = read_number(payload, 0)? as usize;
     let (json, body) = payload.get(NUMBER_BYTES..)?.split_at_checked(json_length)?;
-    // The start of the JSON is compared first: behind damage each offset is tried, and a checksum over a long
-    // payload at each of them would take too long.
+    // The start of the JSON is compared first: after damage every offset is tried, and computing the checksum
+    // of a long payload at each of them would take too long.
     if !json.starts_with(JSON_START) || crc32fast::hash(payload) != read_number(bytes, start + NUMBER_BYTES)?
     {
         return None;
@@ -92,7 +92,7 @@
     Some(Frame { record, start, end })
 }
 
-/// Iterates over the undamaged frames of a file. The bytes between two of them are damaged.
+/// Iterates over the undamaged frames of a file. Bytes between two of these frames are damaged.
 pub(super) struct Frames<'a> {
     bytes: &'a [u8],
     /// Where the next frame should start.
@@ -100,7 +100,7 @@
 }
 
 impl<'a> Frames<'a> {
-    /// The frames of this file.
+    /// The frames of a file with this content.
     pub(super) fn of(bytes: &'a [u8]) -> Self {
         Frames { bytes, position: 0 }
     }
@@ -110,11 +110,11 @@
     type Item = Frame;
 
     fn next(&mut self) -> Option<Frame> {
-        // Behind a damaged frame the offset that its length gives comes first: its body may contain bytes
-        // that look like a frame.
-        let behind_damaged = frame_end(self.bytes, self.position);
+        // If the frame here is damaged, the offset given by its length is tried before every other one,
+        // because its body may contain bytes that look like a frame.
+        let after_damaged = frame_end(self.bytes, self.position);
         let every_offset = self.position + 1..self.bytes.len();
-        let mut candidates = [self.position].into_iter().chain(behind_damaged).chain(every_offset);
+        let mut candidates = [self.position].into_iter().chain(after_damaged).chain(every_offset);
         let frame = candidates.find_map(|start| decode(self.bytes, start))?;
         self.position = frame.end;
         Some(frame)
--- a/src/forwarder/journal/error.rs
+++ b/src/forwarder/journal/error.rs
@@ -3,11 +3,11 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the journal could not be opened or written. A commit that fails leaves none of its records in the
-/// file, or removes them before the next write if the file cannot be shortened at once.
+/// Why the journal could not be opened or written. A failed commit leaves none of its records in the file; if
+/// the file cannot be truncated at once, they are removed before the next write.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum JournalError {
-    /// The records would make the file longer than it may be.
+    /// The records do not fit within the bound of the journal.
     #[error("the journal is full")]
     Full,
     /// A file cannot be opened or created.
@@ -34,7 +34,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// A file cannot be shortened to its undamaged part.
+    /// The file cannot be truncated to its complete part.
     #[error("cannot truncate {}: {source}", path.display())]
     Truncate {
         /// The file.
@@ -42,7 +42,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// A copy cannot take the place of the file.
+    /// The compacted copy cannot be renamed over the file.
     #[error("cannot rename {}: {source}", path.display())]
     Rename {
         /// The copy.
@@ -50,7 +50,7 @@
         /// The cause.
         source: io::Error,
     },
-    /// The last write failed a moment ago, and the next one is only tried after a pause.
-    #[error("the journal could not be written a moment ago")]
+    /// The last write failed, and the delay before the next one has not passed.
+    #[error("waiting to retry after a failed write")]
     Paused,
 }
--- a/src/forwarder/journal/records.rs
+++ b/src/forwarder/journal/records.rs
@@ -9,20 +9,19 @@
 pub(crate) struct AcceptedMessage {
     /// The id that the client gave to the message.
     pub(crate) id: String,
-    /// Name of its class.
+    /// Name of the class of the message.
     pub(crate) class: String,
-    /// Name of its tenant.
+    /// Name of the tenant of the message.
     pub(crate) tenant: Option<String>,
     /// The destination.
     #[serde(rename = "dest")]
     pub(crate) destination: u64,
-    /// The idempotency key.
     #[serde(rename = "key")]
     pub(crate) idempotency_key: Option<String>,
     /// When the message expires, in Unix milliseconds.
     #[serde(rename = "deadline")]
     pub(crate) deadline_unix_ms: u64,
-    /// The payload. It follows the JSON in the file as it is.
+    /// The payload. In the file it follows the JSON as raw bytes.
     #[serde(skip)]
     pub(crate) body: Bytes,
 }
@@ -38,7 +37,7 @@
         message: String,
         /// Number of the attempt, from 0.
         attempt: usize,
-        /// When it was sent, in Unix milliseconds.
+        /// When the attempt was sent, in Unix milliseconds.
         sent_at_unix_ms: u64,
         /// Zone of the endpoint.
         zone: String,
@@ -49,7 +48,7 @@
         message: String,
         /// Number of the attempt, from 0.
         attempt: usize,
-        /// Whether the endpoint may have executed it.
+        /// Whether the endpoint may have executed the attempt.
         may_have_executed: bool,
     },
     /// A message failed or was rejected, and its notice has not been acknowledged.
@@ -65,7 +64,7 @@
     Completed {
         /// Id of the message.
         message: String,
-        /// How it ended.
+        /// How the message ended.
         outcome: FinalOutcome,
         /// The outcome is remembered until this time, in Unix milliseconds.
         remember_until_unix_ms: u64,
@@ -77,7 +76,7 @@
 }
 
 impl Record {
-    /// An attempt was sent at this Unix time (ms) to an endpoint of this zone.
+    /// The record of an attempt that is about to be sent to an endpoint in `zone`.
     pub(crate) fn attempt_started(
         message: String,
         attempt: usize,
@@ -87,12 +86,12 @@
         Record::AttemptStarted { message, attempt, sent_at_unix_ms, zone }
     }
 
-    /// An attempt ended; whether the endpoint may have executed it.
+    /// The record of the end of an attempt.
     pub(crate) fn attempt_ended(message: String, attempt: usize, may_have_executed: bool) -> Self {
         Record::AttemptEnded { message, attempt, may_have_executed }
     }
 
-    /// A notice has to be sent; its outcome is remembered until this Unix time (ms).
+    /// The record of a notice that has to be sent.
     pub(crate) fn notice_pending(
         message: String,
         outcome: NoticeOutcome,
@@ -101,7 +100,7 @@
         Record::NoticePending { message, outcome, remember_until_unix_ms }
     }
 
-    /// The message is complete; its outcome is remembered until this Unix time (ms).
+    /// The record of a complete message.
     pub(crate) fn completed(message: String, outcome: FinalOutcome, remember_until_unix_ms: u64) -> Self {
         Record::Completed { message, outcome, remember_until_unix_ms }
     }
@@ -112,9 +111,9 @@
 pub(crate) enum FinalOutcome {
     /// An endpoint confirmed the delivery.
     Delivered,
-    /// It failed and may have been executed.
+    /// The message failed and may have been executed.
     Failed,
-    /// It was never executed; it is safe to submit it again.
+    /// The message was never executed, so it is safe to submit it again.
     #[serde(rename = "Refused")]
     Rejected,
 }
@@ -128,23 +127,23 @@
     }
 }
 
-/// The outcome of a message, remembered so that a client that submits the message again gets the same reply.
+/// The outcome of a message, kept so that a client that submits the message again receives the same reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct RememberedOutcome {
     /// How the message ended.
     pub(crate) outcome: FinalOutcome,
-    /// It is remembered until this time, in Unix milliseconds.
+    /// The outcome is remembered until this time, in Unix milliseconds.
     pub(crate) until_unix_ms: u64,
 }
 
 /// An attempt of a recovered message.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RecoveredAttempt {
-    /// When it was sent, in Unix milliseconds.
+    /// When the attempt was sent, in Unix milliseconds.
     pub(crate) sent_at_unix_ms: u64,
     /// Zone of the endpoint.
     pub(crate) zone: String,
-    /// False only where it is known that no endpoint executed it.
+    /// Whether an endpoint may have executed the attempt. False only if it is known that none did.
     pub(crate) may_have_executed: bool,
 }
 
@@ -153,10 +152,10 @@
 pub(crate) struct RecoveredMessage {
     /// The message as it was accepted.
     pub(crate) message: AcceptedMessage,
-    /// Its attempts, by number.
+    /// The attempts of the message, by number.
     pub(crate) attempts: Vec<RecoveredAttempt>,
-    /// The message failed or was rejected, and this notice has to be sent. No further attempt may be made.
+    /// The notice to send if the message failed or was rejected. No further attempt may be made in that case.
     pub(crate) pending_notice: Option<NoticeOutcome>,
-    /// A record that can no longer be read may have been about this message, so it may have been executed.
+    /// Whether a damaged record may have been about this message, which may therefore have been executed.
     pub(crate) in_doubt: bool,
 }
--- a/src/forwarder/journal/stored_record.rs
+++ b/src/forwarder/journal/stored_record.rs
@@ -4,23 +4,23 @@
 use crate::forwarder::messages::notice::NoticeOutcome;
 use serde::{Deserialize, Serialize};
 
-/// A record as it is stored: an object with the kind of the record as its key. The fields of most kinds form
-/// an array, in the order given here. Files of earlier versions must stay readable, so the stored names of the
-/// kinds, the fields and their order never change.
+/// A record as it is stored: a JSON object with the kind of the record as its key. For most kinds the value
+/// is an array of the fields, in the order given here. Files of earlier versions must stay readable, so the
+/// stored names of the kinds, the fields and their order never change.
 #[derive(Serialize, Deserialize)]
 pub(super) enum StoredRecord {
     #[serde(rename = "Taken")]
     Accepted(AcceptedMessage),
-    /// Message, attempt, time at which it was sent (Unix ms), zone.
+    /// Message, attempt, time at which the attempt was sent (Unix ms), zone.
     #[serde(rename = "Sent")]
     AttemptStarted(String, usize, u64, String),
-    /// Message, attempt, whether it may have been executed.
+    /// Message, attempt, whether the attempt may have been executed.
     #[serde(rename = "Ended")]
     AttemptEnded(String, usize, bool),
-    /// Message, outcome, until when to remember it (Unix ms).
+    /// Message, outcome, time until which to remember the outcome (Unix ms).
     #[serde(rename = "Owed")]
     NoticePending(String, NoticeOutcome, u64),
-    /// Message, outcome, until when to remember it (Unix ms).
+    /// Message, outcome, time until which to remember the outcome (Unix ms).
     #[serde(rename = "Over")]
     Completed(String, FinalOutcome, u64),
     #[serde(rename = "Banned")]
