--- a/src/forwarder/journal/file_system.rs
+++ b/src/forwarder/journal/file_system.rs
@@ -1,10 +1,10 @@
-//! The file operations of the journal, behind traits so that each of them can be made to fail.
+//! The file operations of the journal, as traits so that tests can make each of them fail.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Seek, Write};
 use std::path::Path;
 
-/// Where the journal keeps its files.
+/// The file system that the journal uses.
 pub(crate) trait FileSystem {
     /// An open file.
     type File: AppendFile;
@@ -12,7 +12,7 @@
     /// Opens a file for reading and appending, and creates it if it is missing.
     fn open(&self, path: &Path) -> io::Result<Self::File>;
 
-    /// Renames a file. A file of the new name is replaced.
+    /// Renames a file, replacing an existing file at the new path.
     fn rename(&self, from: &Path, to: &Path) -> io::Result<()>;
 
     /// Removes a file.
@@ -22,7 +22,7 @@
     fn length(&self, path: &Path) -> io::Result<u64>;
 }
 
-/// An open file. Each write appends, wherever the file was read before.
+/// An open file. Each write appends, whatever the read position is.
 pub(crate) trait AppendFile: Read + Seek + Write {
     /// Shortens the file to this length.
     fn truncate(&self, length: u64) -> io::Result<()>;
--- a/src/forwarder/journal/outcomes.rs
+++ b/src/forwarder/journal/outcomes.rs
@@ -1,14 +1,14 @@
-//! The outcomes of messages that ended a short time ago.
+//! A cache of the outcomes of messages that ended recently.
 
 use super::records::{FinalOutcome, RememberedOutcome};
 use std::collections::HashMap;
 
-/// Upper bound of the outcomes that are remembered.
+/// Upper bound of the number of remembered outcomes.
 const MAX_OUTCOMES: usize = 4096;
-/// Expired outcomes are dropped this often.
+/// Interval at which expired outcomes are dropped.
 const SWEEP_INTERVAL_MS: u64 = 1000;
 
-/// Remembers how messages ended, each outcome until it expires. Expired ones are dropped at intervals, so that
+/// Remembers the outcome of each message until it expires. Expired outcomes are dropped at intervals, so that
 /// neither the memory nor the compacted file grows with the number of all messages ever sent.
 pub(super) struct OutcomeCache {
     by_message: HashMap<String, RememberedOutcome>,
@@ -21,7 +21,7 @@
         OutcomeCache { by_message: HashMap::new(), last_sweep_unix_ms: now_unix_ms }
     }
 
-    /// The number of remembered outcomes, including expired ones that were not dropped yet.
+    /// The number of remembered outcomes, including expired ones that have not been dropped yet.
     pub(super) fn len(&self) -> usize {
         self.by_message.len()
     }
@@ -31,7 +31,7 @@
         self.by_message.get(message).copied()
     }
 
-    /// Remembers an outcome. An expired one is ignored, and any one while the cache is full.
+    /// Remembers an outcome, unless it has expired or the cache is full.
     pub(super) fn insert(
         &mut self,
         message: &str,
--- a/src/forwarder/journal/replay.rs
+++ b/src/forwarder/journal/replay.rs
@@ -1,9 +1,9 @@
-//! Recovers the open messages from the records of the file.
+//! Recovers the open messages from the records in the file.
 
 use super::records::{AcceptedMessage, Record, RecoveredAttempt, RecoveredMessage};
 use std::collections::HashMap;
 
-/// Applies records one after the other and collects the messages that are open at the end.
+/// Applies records in order and collects the messages that are still open after the last one.
 #[derive(Default)]
 pub(super) struct Replay {
     /// Ids of the accepted messages, in the order of their acceptance.
@@ -17,8 +17,8 @@
         match record {
             Record::Accepted(message) => self.accept(message),
             Record::AttemptStarted { message, attempt, sent_at_unix_ms, zone } => {
-                // Without a record of its end the attempt may have been executed: the process ended during
-                // it.
+                // Without a record of its end, the process ended during the attempt, which may have been
+                // executed.
                 let started = RecoveredAttempt { sent_at_unix_ms, zone, may_have_executed: true };
                 self.start_attempt(&message, attempt, started);
             }
@@ -36,7 +36,7 @@
             Record::Completed { message, .. } => {
                 self.open.remove(&message);
             }
-            // Bans are no part of a message.
+            // Bans do not concern messages.
             Record::EndpointBanned(_) | Record::EndpointAllowed(_) => {}
         }
     }
@@ -54,13 +54,14 @@
         if attempt < open.attempts.len() {
             return;
         }
-        // The attempts in between were never written to an endpoint, and so not recorded.
+        // Attempts with skipped numbers were never written to an endpoint, and so were not recorded.
         let never_written = RecoveredAttempt { may_have_executed: false, ..started.clone() };
         open.attempts.resize(attempt, never_written);
         open.attempts.push(started);
     }
 
-    /// Marks the open messages as in doubt because records are missing here, and returns their number.
+    /// Marks all open messages as in doubt, because records may be missing at this position. Returns their
+    /// number.
     pub(super) fn mark_in_doubt(&mut self) -> usize {
         self.open.values_mut().for_each(|open| open.in_doubt = true);
         self.open.len()
--- a/src/forwarder/journal/retained.rs
+++ b/src/forwarder/journal/retained.rs
@@ -1,4 +1,4 @@
-//! The records that a compacted file still has to contain.
+//! The state of the journal in memory, which decides what records a compaction retains.
 
 use super::open_messages::OpenMessages;
 use super::outcomes::OutcomeCache;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Applies a record whose frame has `size` bytes.
+    /// Applies a record whose frame is `size` bytes long.
     pub(super) fn apply(&mut self, record: &Record, size: u64, now_unix_ms: u64) {
         match record {
             Record::Accepted(message) => self.open_messages.open(&message.id, size),
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether a compaction copies this record. Bans are not copied but written anew, one record each,
-    /// however often they began and ended.
+    /// Whether a compaction copies this record. Bans are not copied: compaction writes one new record for
+    /// each banned endpoint, however often the endpoint was banned and allowed.
     pub(super) fn retains(&self, record: &Record) -> bool {
         match record {
             Record::Accepted(message) => self.open_messages.contains(&message.id),
