--- a/src/forwarder/journal/format_tests/digest.rs
+++ b/src/forwarder/journal/format_tests/digest.rs
@@ -1,11 +1,11 @@
-//! A digest of what is read from a journal.
+//! A digest of the state that is recovered from a journal.
 
 use super::super::Journal;
 use super::super::records::{AcceptedMessage, FinalOutcome, RecoveredMessage};
 use super::remembered_outcomes;
 use crate::forwarder::messages::notice::NoticeOutcome;
 
-/// A 64-bit FNV-1a hash over an encoding of its own, in which no name of a type or a field occurs.
+/// A 64-bit FNV-1a hash of the recovered values. The names of types and fields do not affect it.
 pub(super) struct Digest(u64);
 
 impl Digest {
