--- a/src/forwarder/journal/tests/faulty_file_system.rs
+++ b/src/forwarder/journal/tests/faulty_file_system.rs
@@ -1,4 +1,4 @@
-//! A file system in memory whose operations fail where a test says so.
+//! An in-memory file system that injects faults into operations selected by a test.
 
 use super::super::file_system::{AppendFile, FileSystem};
 use std::cell::{Ref, RefCell};
@@ -7,21 +7,21 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// File sizes are rounded up to a multiple of this where they count against the disk limit.
+/// File lengths are rounded up to a multiple of this number when they count against the disk limit.
 pub(super) const BLOCK_BYTES: u64 = 512;
 
 /// What a failing operation does.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Fault {
-    /// It has no effect and reports an error.
+    /// The operation has no effect and reports an error.
     Error,
     /// A write appends half of the bytes and reports an error. Other operations have no effect.
     PartialWrite,
-    /// It takes effect and reports an error.
+    /// The operation takes effect and reports an error.
     ErrorAfterEffect,
-    /// A signal interrupts it before it takes effect.
+    /// A signal interrupts the operation before it takes effect.
     Interrupted,
-    /// A read or write transfers half of the bytes and reports that. Other operations succeed.
+    /// A read or write transfers half of the bytes and reports their number. Other operations succeed.
     ShortTransfer,
 }
 
@@ -41,16 +41,16 @@
 
 struct Disk {
     files: BTreeMap<PathBuf, Content>,
-    /// Operations so far.
+    /// Number of operations started so far.
     operations: usize,
-    /// Whether this operation fails, which has this number.
+    /// Whether the operation of this kind and number fails.
     is_faulty: Box<dyn Fn(Operation, usize) -> bool>,
     fault: Fault,
-    /// The most that all files together have occupied.
+    /// Highest total length of all files so far, in whole blocks.
     peak_bytes: u64,
 }
 
-/// A file system; clones share its files.
+/// An in-memory file system. Clones share its files.
 #[derive(Clone)]
 pub(super) struct FaultyFileSystem(Rc<RefCell<Disk>>);
 
@@ -67,35 +67,35 @@
         })))
     }
 
-    /// Lets the operations fail for which `is_faulty` returns true. It also gets their numbers.
+    /// Makes each operation fail for whose kind and number `is_faulty` returns true.
     pub(super) fn fail_where(&self, fault: Fault, is_faulty: impl Fn(Operation, usize) -> bool + 'static) {
         let mut disk = self.0.borrow_mut();
         disk.fault = fault;
         disk.is_faulty = Box::new(is_faulty);
     }
 
-    /// Lets all operations succeed from now on.
+    /// Makes all operations succeed from now on.
     pub(super) fn recover(&self) {
         self.fail_where(Fault::Error, |_, _| false);
     }
 
-    /// The number of operations so far.
+    /// The number of operations started so far.
     pub(super) fn operations(&self) -> usize {
         self.0.borrow().operations
     }
 
-    /// The most that all files together have occupied, in bytes of whole blocks.
+    /// The highest total length of all files so far, in bytes of whole blocks.
     pub(super) fn peak_bytes(&self) -> u64 {
         self.0.borrow().peak_bytes
     }
 
-    /// The names and contents of the files, as a process finds them that starts now.
+    /// The paths and contents of the files, as a process that starts now would read them.
     pub(super) fn snapshot(&self) -> Vec<(PathBuf, Vec<u8>)> {
         let disk = self.0.borrow();
         disk.files.iter().map(|(path, content)| (path.clone(), content.borrow().clone())).collect()
     }
 
-    /// The fault of the operation that starts now, if it fails.
+    /// The fault of the next operation, if that operation fails.
     fn next_fault(&self, operation: Operation) -> Option<Fault> {
         let mut disk = self.0.borrow_mut();
         let number = disk.operations;
@@ -153,16 +153,16 @@
     }
 }
 
-/// An open file. Its content lives on if the file is removed or replaced.
+/// An open file. Its content stays accessible after the file is removed or replaced.
 pub(super) struct FaultyFile {
     file_system: FaultyFileSystem,
     content: Content,
-    /// Where the next read starts.
+    /// Offset at which the next read starts.
     position: usize,
 }
 
 impl FaultyFile {
-    /// How many of `length` bytes the transfer that starts now moves, and whether it reports an error then.
+    /// How many of `length` bytes the next transfer moves, and the result that it reports.
     fn next_transfer(&self, operation: Operation, length: usize) -> (usize, io::Result<()>) {
         match self.file_system.next_fault(operation) {
             None => (length, Ok(())),
@@ -217,5 +217,5 @@
 }
 
 fn io_error() -> io::Error {
-    io::Error::other("a fault of the test")
+    io::Error::other("fault injected by the test")
 }
--- a/src/forwarder/journal/tests/mod.rs
+++ b/src/forwarder/journal/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the journal, by subject, and what they share.
+//! Tests of the journal, and the helpers that they share.
 
 mod capacity;
 mod encoding;
@@ -16,8 +16,8 @@
 
 /// Upper bound of the journals of most tests, in bytes.
 const MAX_BYTES: u64 = 3 << 20;
-/// The time of the tests (Unix ms).
-const NOW: u64 = 1_800_000_000_000;
+/// Time at which the tests start.
+const NOW_UNIX_MS: u64 = 1_800_000_000_000;
 
 /// A temporary folder, removed when dropped.
 pub(super) struct Folder(pub(super) PathBuf);
@@ -38,7 +38,7 @@
 
     /// Opens the journal of the folder.
     fn open(&self, max_bytes: u64) -> (Journal, Vec<RecoveredMessage>) {
-        Journal::open(&self.0, max_bytes, NOW).expect("the journal opens")
+        Journal::open(&self.0, max_bytes, NOW_UNIX_MS).expect("the journal opens")
     }
 }
 
@@ -55,12 +55,12 @@
         tenant: None,
         destination: 7,
         idempotency_key: Some("k".into()),
-        deadline_unix_ms: NOW + 1000,
+        deadline_unix_ms: NOW_UNIX_MS + 1000,
         body: body.into(),
     })
 }
 
-/// Any record about one of three messages.
+/// Generates records of each kind that concerns messages, for three message ids.
 fn record() -> impl Strategy<Value = Record> {
     let id = "[a-c]";
     let notice = NoticeOutcome::Rejected { retry_in_ms: Some(5) };
@@ -74,8 +74,8 @@
             attempt,
             may_have_executed
         )),
-        id.prop_map(move |id| Record::notice_pending(id, notice, NOW + 1000)),
-        id.prop_map(|id| Record::completed(id, FinalOutcome::Delivered, NOW + 1000)),
+        id.prop_map(move |id| Record::notice_pending(id, notice, NOW_UNIX_MS + 1000)),
+        id.prop_map(|id| Record::completed(id, FinalOutcome::Delivered, NOW_UNIX_MS + 1000)),
     ]
 }
 
