--- a/src/forwarder/discovery/follower.rs
+++ b/src/forwarder/discovery/follower.rs
@@ -10,7 +10,7 @@
 use super::open_calls::{CallEvent, FinishedCall, ListCall, OpenCalls};
 use super::outage_detector::{FailedCall, FailureKind, OutageDetector, ServiceState};
 use super::request::{ListQuery, PollError};
-use super::schedule::{CallPosition, CallSchedule};
+use super::schedule::{CallContext, CallSchedule};
 use crate::forwarder::event::RuntimeEvent;
 use crate::forwarder::messages::endpoint_list::EndpointList;
 use std::net::SocketAddr;
@@ -28,21 +28,21 @@
     ResponseProgress(ListCall),
     /// A call has ended.
     Complete(FinishedCall),
-    /// Another call is due.
-    Call,
+    /// The timer has fired.
+    Timer,
     /// The list may have become too old.
     CheckAge,
 }
 
 /// What is done when the next call is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum DueCall {
+enum TimerAction {
     /// The call that follows a list or a failure.
-    Regular,
+    Call,
     /// None yet: the newest call becomes overdue.
-    Overdue,
+    MarkOverdue,
     /// A call beside the overdue one.
-    BesideOverdue,
+    Hedge,
 }
 
 /// The runtime has stopped receiving events.
@@ -64,7 +64,7 @@
     revision: u64,
     at: Instant,
     /// It was the response to a watch, which goes on.
-    ends_watch: bool,
+    is_watch_response: bool,
 }
 
 /// The state of the loop that follows the list.
@@ -76,16 +76,16 @@
     bounds: ListAgeBounds,
     schedule: CallSchedule,
     calls: OpenCalls,
-    next_call_at: Instant,
-    due_call: DueCall,
+    timer_at: Instant,
+    timer_action: TimerAction,
     /// What the next regular call follows.
-    position: CallPosition,
+    next_context: CallContext,
     /// Changes since this revision suffice; `None` if the complete list has to be requested.
     known_revision: Option<u64>,
     /// The list in use, if a call has returned it.
     applied: Option<AppliedList>,
     /// The first of the rejections since the last list.
-    rejected_since: Option<Instant>,
+    failing_since: Option<Instant>,
     outages: OutageDetector,
     /// When the last connection broke that counted as one of its own, if no call has failed otherwise since.
     broken_at: Option<Instant>,
@@ -107,13 +107,13 @@
             events,
             bounds,
             calls: OpenCalls::new(),
-            next_call_at: now,
+            timer_at: now,
             schedule: CallSchedule::new(bounds, seed),
-            due_call: DueCall::Regular,
-            position: CallPosition::First,
+            timer_action: TimerAction::Call,
+            next_context: CallContext::First,
             known_revision: initial_list.revision,
             applied: None,
-            rejected_since: None,
+            failing_since: None,
             outages: OutageDetector::new(),
             broken_at: None,
             age: initial_list.monitor(),
@@ -131,9 +131,9 @@
     async fn take_step(&mut self) -> Result<(), RuntimeEnded> {
         match self.next_step().await {
             Step::ChangeAddress => self.change_address(),
-            Step::ResponseProgress(call) => self.expect_response_end(call),
+            Step::ResponseProgress(call) => self.handle_response_progress(call),
             Step::Complete(finished) => self.complete_call(finished).await?,
-            Step::Call => self.make_due_call(),
+            Step::Timer => self.handle_timer(),
             Step::CheckAge => {}
         }
         self.report_age().await
@@ -148,8 +148,8 @@
                 CallEvent::ResponseProgress(call) => Step::ResponseProgress(call),
                 CallEvent::Finished(finished) => Step::Complete(finished),
             },
-            () = sleep_until(self.next_call_at) => Step::Call,
-            () = sleep_until(age_changes_at.unwrap_or(self.next_call_at)), if age_changes_at.is_some() => Step::CheckAge,
+            () = sleep_until(self.timer_at) => Step::Timer,
+            () = sleep_until(age_changes_at.unwrap_or(self.timer_at)), if age_changes_at.is_some() => Step::CheckAge,
         }
     }
 
@@ -164,52 +164,52 @@
             self.known_revision = None;
         }
         self.applied = None;
-        self.rejected_since = None;
+        self.failing_since = None;
         self.outages = OutageDetector::new();
         self.broken_at = None;
-        self.position = CallPosition::AfterFailure;
-        self.schedule_call(DueCall::Regular, now);
+        self.next_context = CallContext::AfterFailure;
+        self.set_timer(TimerAction::Call, now);
     }
 
-    fn schedule_call(&mut self, due_call: DueCall, at: Instant) {
-        self.due_call = due_call;
-        self.next_call_at = at;
+    fn set_timer(&mut self, timer_action: TimerAction, at: Instant) {
+        self.timer_action = timer_action;
+        self.timer_at = at;
     }
 
-    fn make_due_call(&mut self) {
-        match self.due_call {
-            DueCall::Regular => self.call(self.position),
-            DueCall::BesideOverdue => {
+    fn handle_timer(&mut self) {
+        match self.timer_action {
+            TimerAction::Call => self.call(self.next_context),
+            TimerAction::Hedge => {
                 self.calls.make_room();
-                self.call(CallPosition::BesideOverdue);
+                self.call(CallContext::Hedge);
             }
-            DueCall::Overdue => {
+            TimerAction::MarkOverdue => {
                 let list_age = self.age.since_current(Instant::now()).as_millis();
                 eprintln!("discovery: no response in time; list {list_age} ms old");
                 self.schedule.record_overdue();
-                self.schedule_call(DueCall::BesideOverdue, Instant::now());
+                self.set_timer(TimerAction::Hedge, Instant::now());
             }
         }
     }
 
-    fn call(&mut self, position: CallPosition) {
+    fn call(&mut self, context: CallContext) {
         let address = *self.address.borrow();
-        let query = self.query(position);
+        let query = self.query(context);
         let call = self.calls.start(address, query, self.schedule.limits(query));
-        if position == CallPosition::AfterList && query.is_watch() {
+        if context == CallContext::AfterList && query.is_watch() {
             self.age.record_watch(call.started_at, query.wait());
         }
-        if position == CallPosition::AfterUncheckedList {
+        if context == CallContext::AfterPossiblyLateList {
             self.record_watch_gap();
         }
-        let next_call_after = self.schedule.next_call_after(query, position);
-        self.schedule_call(DueCall::Overdue, call.started_at + next_call_after);
+        let hedge_after = self.schedule.hedge_after(query, context);
+        self.set_timer(TimerAction::MarkOverdue, call.started_at + hedge_after);
     }
 
     /// What the next call asks for. If the list has to be confirmed at a later time, a watch ends then: its response
     /// shows that the list was current at that time.
-    fn query(&self, position: CallPosition) -> ListQuery {
-        let query = self.schedule.query(self.known_revision, position, self.age.is_confirmed());
+    fn query(&self, context: CallContext) -> ListQuery {
+        let query = self.schedule.query(self.known_revision, context, self.age.is_confirmed());
         let now = Instant::now();
         match self.age.next_confirmation(now) {
             Some(confirmation) => query.with_longest_wait(confirmation - now),
@@ -219,21 +219,23 @@
 
     /// What the response tells must be known soon after its last byte: if no more arrives for a while and it has not
     /// ended, another call is made beside it.
-    fn expect_response_end(&mut self, call: ListCall) {
+    fn handle_response_progress(&mut self, call: ListCall) {
         let now = Instant::now();
         self.age.record_response_progress(call.number, now);
         let newest = self.calls.open().next_back();
-        if newest.is_some_and(|newest| newest.number == call.number) && self.due_call == DueCall::Overdue {
+        if newest.is_some_and(|newest| newest.number == call.number)
+            && self.timer_action == TimerAction::MarkOverdue
+        {
             let overdue_at = call.started_at + self.schedule.overdue_after(call.query);
             let stalled_at = now + ListAgeBounds::response_completion_allowance();
-            self.schedule_call(DueCall::Overdue, stalled_at.min(overdue_at));
+            self.set_timer(TimerAction::MarkOverdue, stalled_at.min(overdue_at));
         }
     }
 
     async fn complete_call(&mut self, finished: FinishedCall) -> Result<(), RuntimeEnded> {
         let (call, result) = self.calls.complete(finished);
         match result {
-            Ok(list) => self.accept(call, list).await,
+            Ok(list) => self.handle_list(call, list).await,
             Err(error) => {
                 self.record_failure(call, &error);
                 Ok(())
@@ -242,13 +244,13 @@
     }
 
     /// Passes a list on, unless a newer one was passed on before.
-    async fn accept(&mut self, call: ListCall, list: EndpointList) -> Result<(), RuntimeEnded> {
+    async fn handle_list(&mut self, call: ListCall, list: EndpointList) -> Result<(), RuntimeEnded> {
         self.age.record_response_end(call.number);
         if self.is_outdated(call, &list) {
             eprintln!("discovery: call {}: revision {} is outdated", call.number, list.revision);
-            self.position = CallPosition::AfterFailure;
+            self.next_context = CallContext::AfterFailure;
             if self.calls.open().len() == 0 {
-                self.schedule_call(DueCall::Regular, Instant::now());
+                self.set_timer(TimerAction::Call, Instant::now());
             }
             return Ok(());
         }
@@ -271,30 +273,31 @@
     fn record_list(&mut self, call: ListCall, list: &EndpointList) {
         let now = Instant::now();
         let newest_call = self.applied.map_or(call.number, |applied| applied.call.max(call.number));
-        let ends_watch = call.query.is_watch();
-        self.applied = Some(AppliedList { call: newest_call, revision: list.revision, at: now, ends_watch });
+        let is_watch_response = call.query.is_watch();
+        self.applied =
+            Some(AppliedList { call: newest_call, revision: list.revision, at: now, is_watch_response });
         self.known_revision = next_revision(call.query, list);
-        self.rejected_since = None;
+        self.failing_since = None;
         self.outages.record_list();
         self.age.record_current(current_at(call, list, now));
-        self.position = self.position_after(call, list, now);
+        self.next_context = self.context_after(call, list, now);
         self.schedule.record_list(response_time(call, list, now));
         let newest_watch = self.calls.open().rev().find(|open| open.query.is_watch());
         match newest_watch {
             Some(watch) if self.known_revision.is_some() => self.continue_watch(watch, call, now),
-            _ => self.schedule_call(DueCall::Regular, now),
+            _ => self.set_timer(TimerAction::Call, now),
         }
     }
 
     /// What the call after this list follows. The service counts the changes between the response to a watch and the next call
     /// as told; they are known in time if it takes up that call in time.
-    fn position_after(&self, call: ListCall, list: &EndpointList, now: Instant) -> CallPosition {
+    fn context_after(&self, call: ListCall, list: &EndpointList, now: Instant) -> CallContext {
         if !self.bounds.is_shared() || !call.query.is_watch() {
-            return CallPosition::AfterList;
+            return CallContext::AfterList;
         }
-        match self.bounds.is_taken_up_in_time(longest_response_time(call, list, now)) {
-            true => CallPosition::AfterList,
-            false => CallPosition::AfterUncheckedList,
+        match self.bounds.is_accepted_in_time(longest_response_time(call, list, now)) {
+            true => CallContext::AfterList,
+            false => CallContext::AfterPossiblyLateList,
         }
     }
 
@@ -304,15 +307,16 @@
         let overdue_at = watch.started_at + self.schedule.overdue_after(watch.query);
         let is_short = !self.bounds.has_long_watches();
         if now < overdue_at && is_short {
-            self.schedule_call(DueCall::Overdue, overdue_at);
+            self.set_timer(TimerAction::MarkOverdue, overdue_at);
         } else if watch.number < call.number {
-            self.schedule_call(DueCall::Regular, now);
+            self.set_timer(TimerAction::Call, now);
         }
     }
 
     fn record_failure(&mut self, call: ListCall, error: &PollError) {
         let now = Instant::now();
-        let failure = FailureKind::of(error, now - call.started_at, self.age.is_unread(call.number));
+        let failure =
+            FailureKind::of(error, now - call.started_at, self.age.has_partial_response(call.number));
         if failure.is_rejection() {
             self.age.record_response_end(call.number);
         }
@@ -322,7 +326,7 @@
         let is_down = self.record_service_state(call, failure, now);
         self.record_lost_changes(failure, is_down, now);
         self.age.record_failure();
-        self.position = CallPosition::AfterFailure;
+        self.next_context = CallContext::AfterFailure;
         let is_newest = self.calls.open().all(|open| open.number < call.number);
         if is_newest {
             let delay = if self.outages.is_check_due() {
@@ -338,7 +342,7 @@
             );
             // The time that a connection attempt took is a part of the delay.
             let since = if failure == FailureKind::Unreachable { call.started_at } else { now };
-            self.schedule_call(DueCall::Regular, now.max(since + delay));
+            self.set_timer(TimerAction::Call, now.max(since + delay));
         }
     }
 
@@ -349,7 +353,7 @@
         let was_healthy_watch = self.was_healthy_watch(call, elapsed);
         let is_superseded = self.applied.is_some_and(|applied| call.number < applied.call);
         let failed_call = FailedCall { kind, was_healthy_watch, elapsed };
-        if failed_call.ended_watch_not_taken_up() {
+        if failed_call.ended_unestablished_watch() {
             self.record_watch_gap();
         }
         let state = if self.broke_with_earlier_call(call, kind) {
@@ -358,9 +362,10 @@
             self.broken_at = (kind == FailureKind::Broken).then_some(now);
             self.outages.record_failure(failed_call)
         };
-        let may_be_lost = self.outages.is_check_due() || matches!(state, ServiceState::Breaking { .. });
+        let may_have_lost_response =
+            self.outages.is_check_due() || matches!(state, ServiceState::Breaking { .. });
         let is_down = matches!(state, ServiceState::Down { .. });
-        if may_be_lost && !is_superseded {
+        if may_have_lost_response && !is_superseded {
             self.age.record_lost_response(now);
         } else if is_down {
             self.age.record_outage(now);
@@ -379,8 +384,8 @@
     /// The service has rejected a call that should have continued a watch. It may have told the watch of changes until then.
     /// One that a sender has for itself is not crowded, but down, and has nothing to tell.
     fn record_watch_gap(&mut self) {
-        let ends_watch = |applied: &AppliedList| applied.ends_watch && self.bounds.is_shared();
-        if let Some(applied) = self.applied.filter(ends_watch) {
+        let is_watch_response = |applied: &AppliedList| applied.is_watch_response && self.bounds.is_shared();
+        if let Some(applied) = self.applied.filter(is_watch_response) {
             self.age.record_watch_gap(applied.at);
         }
     }
@@ -395,8 +400,8 @@
     /// Decides whether the complete list has to be requested. The service lost no change if it rejected the call because
     /// it is overloaded; it may be restarting if it does so for a while.
     fn record_lost_changes(&mut self, failure: FailureKind, is_down: bool, now: Instant) {
-        let rejected_since = *self.rejected_since.get_or_insert(now);
-        let may_restart = is_down || now - rejected_since >= self.bounds.min_restart_duration();
+        let failing_since = *self.failing_since.get_or_insert(now);
+        let may_restart = is_down || now - failing_since >= self.bounds.min_restart_duration();
         if !failure.is_rejection() || may_restart {
             self.known_revision = None;
         }
--- a/src/forwarder/discovery/list_age.rs
+++ b/src/forwarder/discovery/list_age.rs
@@ -9,13 +9,13 @@
 use std::time::Duration;
 
 /// A change must be known this long after the service had it and could be reached, whatever happened to the calls.
-const MAX_CHANGE_AGE: Duration = Duration::from_secs(6);
+const MAX_STALENESS: Duration = Duration::from_secs(6);
 /// After a failed call, changes must be known that are older than this many maximum list ages.
-const FAILED_CALL_AGE_FACTOR: u32 = 4;
+const FAILED_CALL_STALENESS_FACTOR: u32 = 4;
 /// A change must be known this long after operators configured another address of the service.
-const MAX_AGE_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
+const MAX_STALENESS_AFTER_ADDRESS_CHANGE: Duration = Duration::from_secs(4);
 /// A change must be known this long after another process has handed over.
-const MAX_AGE_AFTER_HANDOVER: Duration = Duration::from_secs(2);
+const MAX_STALENESS_AFTER_HANDOVER: Duration = Duration::from_secs(2);
 
 /// The calls per second that a service which is shared by a fleet is expected to answer. All senders together stay
 /// below this rate while calls succeed.
@@ -31,7 +31,7 @@
 
 /// The time for which the service of a sender of its own is asked to wait for a change, as a fraction of the largest
 /// change age.
-const OWN_WATCH_FRACTION: f64 = 1.0 / 3.0;
+const AGENT_WATCH_FRACTION: f64 = 1.0 / 3.0;
 /// The same for a service that few senders share. It leaves the rest of the age to detect a watch that gets no response,
 /// and to ask again.
 const SHARED_WATCH_FRACTION: f64 = 2.0 / 3.0;
@@ -40,12 +40,12 @@
 /// The latest moment at which a watch is overdue, as a fraction of the largest change age from its start.
 const MAX_OVERDUE_FRACTION: f64 = 0.75;
 /// What a watch that has fallen silent misses must be known this long after the service should have responded, if that is
-/// later than [`MAX_CHANGE_AGE`].
-const MAX_SILENCE_AFTER_WATCH: Duration = Duration::from_secs(2);
+/// later than [`MAX_STALENESS`].
+const MAX_STALENESS_AFTER_WAIT: Duration = Duration::from_secs(2);
 /// A watch that shows whether the service has taken it up, before one that may wait for long.
 const FIRST_WATCH: Duration = Duration::from_millis(300);
 /// A watch that shows whether the service takes up calls that go on with a watch in time.
-const CHECK_WATCH: Duration = Duration::from_millis(100);
+const VERIFICATION_WATCH: Duration = Duration::from_millis(100);
 /// A response within this time is that of a service that takes up calls at once.
 const MIN_PROMPT_RESPONSE: Duration = Duration::from_millis(150);
 /// A call without a response after this time, in addition to the time that the service was asked to wait, is overdue:
@@ -54,13 +54,13 @@
 /// The same for a service that responds slowly.
 const MAX_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(1500);
 /// The same for a service that many senders share, which handles the calls of others first.
-const CROWDED_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(2500);
+const LARGE_FLEET_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(2500);
 /// A slow service is allowed this multiple of its usual response time.
 const RESPONSE_ALLOWANCE_FACTOR: u32 = 2;
 /// The least interval between calls to a shared service that are made beside overdue ones.
-const SHARED_OVERLAP_INTERVAL: Duration = Duration::from_secs(1);
+const SHARED_HEDGE_INTERVAL: Duration = Duration::from_secs(1);
 /// The same where a sender has a service of its own. It must know changes as soon as that responds again.
-const OWN_OVERLAP_INTERVAL: Duration = Duration::from_millis(300);
+const AGENT_HEDGE_INTERVAL: Duration = Duration::from_millis(300);
 /// A service that rejects calls for this long may be restarting.
 const MIN_RESTART_DURATION: Duration = Duration::from_secs(1);
 /// In a larger fleet it is rather overloaded, and complete lists would cost it more than changes: there it is this
@@ -73,14 +73,14 @@
 /// The longest backoff after failed calls to a service that few senders share, before jitter.
 const SHARED_BACKOFF: Duration = Duration::from_secs(1);
 /// The same where a sender has a service of its own.
-const OWN_BACKOFF: Duration = Duration::from_millis(200);
+const AGENT_BACKOFF: Duration = Duration::from_millis(200);
 /// If no bytes of a response arrive for this long and it has not ended, another call is made beside it.
 const RESPONSE_COMPLETION_ALLOWANCE: Duration = Duration::from_millis(150);
 /// A connection to the service that is not established in this time has failed. It is short, so that a service that is
 /// down is known to be down soon.
 const INITIAL_CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// The same where a sender has a service of its own, which is near.
-const OWN_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
+const AGENT_CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// The same after failed connections, as a fraction of the largest change age: the network may be slow.
 const CONNECT_FRACTION: f64 = 0.5;
 
@@ -96,9 +96,9 @@
     is_shared: bool,
     senders: f64,
     /// The age at which a change must be known, also if calls failed.
-    max_change_age: Duration,
+    max_staleness: Duration,
     /// The same before the first call has ended.
-    max_age_without_call: Duration,
+    max_staleness_without_call: Duration,
     /// New calls to an endpoint must stop within this time after its drain must be known.
     drain_grace: Duration,
     turn_interval: Duration,
@@ -118,13 +118,13 @@
         let duration = |micros: i64| Duration::from_micros(micros.max(0).unsigned_abs());
         let max_list_age = duration(settings.max_list_age);
         let is_limited = settings.poll_discovery && !max_list_age.is_zero();
-        let change_age =
-            |limit: Duration| if is_limited { MAX_CHANGE_AGE.min(limit) } else { MAX_CHANGE_AGE };
+        let bounded_staleness =
+            |limit: Duration| if is_limited { MAX_STALENESS.min(limit) } else { MAX_STALENESS };
         ListAgeBounds {
             is_shared: settings.poll_discovery,
             senders: settings.sender_count.max(1) as f64,
-            max_change_age: change_age(max_list_age * FAILED_CALL_AGE_FACTOR),
-            max_age_without_call: change_age(max_list_age),
+            max_staleness: bounded_staleness(max_list_age * FAILED_CALL_STALENESS_FACTOR),
+            max_staleness_without_call: bounded_staleness(max_list_age),
             drain_grace: duration(settings.drain_grace),
             turn_interval: duration(settings.min_turn_interval),
         }
@@ -143,20 +143,20 @@
     /// which all senders together may call. `load` makes calls rarer and leaves more time for a response.
     pub(super) fn watch_duration(&self, load: &ServiceLoad) -> Duration {
         if !self.is_shared {
-            return whole_milliseconds(self.max_change_age.mul_f64(OWN_WATCH_FRACTION));
+            return whole_milliseconds(self.max_staleness.mul_f64(AGENT_WATCH_FRACTION));
         }
         let fair = self.fair_interval(SHARED_CALLS_PER_SECOND);
         if self.has_long_watches() {
             return whole_milliseconds(fair.mul_f64(load.interval_factor()).min(MAX_WATCH));
         }
         let longest =
-            self.max_change_age.mul_f64(MAX_OVERDUE_FRACTION).saturating_sub(Self::response_allowance(load));
-        whole_milliseconds(self.max_change_age.mul_f64(SHARED_WATCH_FRACTION).min(longest))
+            self.max_staleness.mul_f64(MAX_OVERDUE_FRACTION).saturating_sub(Self::response_allowance(load));
+        whole_milliseconds(self.max_staleness.mul_f64(SHARED_WATCH_FRACTION).min(longest))
     }
 
     /// Whether a watch may wait for longer than a list that is not known to be current may be used.
     pub(super) fn has_long_watches(&self) -> bool {
-        self.fair_interval(SHARED_CALLS_PER_SECOND) > self.max_change_age.mul_f64(SHARED_WATCH_FRACTION)
+        self.fair_interval(SHARED_CALLS_PER_SECOND) > self.max_staleness.mul_f64(SHARED_WATCH_FRACTION)
     }
 
     /// How long the first watch after a failure waits.
@@ -165,20 +165,20 @@
     }
 
     /// How long a watch waits that checks whether the service takes up calls in time.
-    pub(super) fn check_watch_duration() -> Duration {
-        CHECK_WATCH
+    pub(super) fn verification_watch_duration() -> Duration {
+        VERIFICATION_WATCH
     }
 
     /// Whether a watch that was answered so long after it could have been was taken up so soon that a change before that is
     /// known in time. Where the grace leaves next to no time for that, a usual response time suffices.
-    pub(super) fn is_taken_up_in_time(&self, response_time: Duration) -> bool {
-        response_time <= self.usable_after_lost_response().max(MIN_PROMPT_RESPONSE)
+    pub(super) fn is_accepted_in_time(&self, response_time: Duration) -> bool {
+        response_time <= self.usable_after_missed_change().max(MIN_PROMPT_RESPONSE)
     }
 
     /// When a call that asks the service to wait for `wait` is overdue, counted from its start.
     pub(super) fn overdue_after(&self, wait: Duration, load: &ServiceLoad) -> Duration {
         match self.has_long_watches() && wait <= FIRST_WATCH {
-            true => wait + CROWDED_RESPONSE_ALLOWANCE,
+            true => wait + LARGE_FLEET_RESPONSE_ALLOWANCE,
             false => wait + Self::response_allowance(load),
         }
     }
@@ -186,8 +186,8 @@
     /// How long a list is acted on that was current when a watch began, while that watch is open and no call fails. What a
     /// watch that has fallen silent misses need not be known sooner.
     pub(super) fn usable_during_watch(&self, wait: Duration) -> Duration {
-        let silence_known_after = self.max_change_age.max(wait + MAX_SILENCE_AFTER_WATCH);
-        (silence_known_after + self.drain_grace).saturating_sub(self.hold_up())
+        let staleness_limit = self.max_staleness.max(wait + MAX_STALENESS_AFTER_WAIT);
+        (staleness_limit + self.drain_grace).saturating_sub(self.longest_write_delay())
     }
 
     fn response_allowance(load: &ServiceLoad) -> Duration {
@@ -196,13 +196,13 @@
     }
 
     /// The least interval between calls that are made beside overdue ones.
-    pub(super) fn overlap_interval(&self) -> Duration {
+    pub(super) fn hedge_interval(&self) -> Duration {
         match self.is_shared {
             true => {
                 let fair = self.fair_interval(SHARED_CALLS_PER_SECOND);
-                fair.clamp(SHARED_OVERLAP_INTERVAL, MAX_SHARED_RETRY_INTERVAL)
+                fair.clamp(SHARED_HEDGE_INTERVAL, MAX_SHARED_RETRY_INTERVAL)
             }
-            false => OWN_OVERLAP_INTERVAL,
+            false => AGENT_HEDGE_INTERVAL,
         }
     }
 
@@ -226,7 +226,7 @@
     pub(super) fn longest_backoff(&self) -> Duration {
         match self.is_shared {
             true => SHARED_BACKOFF.max(self.retry_interval()),
-            false => OWN_BACKOFF,
+            false => AGENT_BACKOFF,
         }
     }
 
@@ -237,7 +237,7 @@
                 let fair = self.fair_interval(SHARED_OUTAGE_CALLS_PER_SECOND);
                 fair.clamp(SHARED_BACKOFF, MAX_OUTAGE_INTERVAL).max(self.longest_backoff())
             }
-            false => OWN_BACKOFF,
+            false => AGENT_BACKOFF,
         }
     }
 
@@ -253,60 +253,60 @@
     /// The time limit of a call that asks the service to wait for `wait`. A slow response is awaited for as long as it
     /// can be of use; further calls are made beside it.
     pub(super) fn response_timeout(&self, wait: Duration) -> Duration {
-        wait + self.max_change_age
+        wait + self.max_staleness
     }
 
     /// The time limit of establishing the first connection to the service.
     pub(super) fn initial_connect_timeout(&self) -> Duration {
-        if self.is_shared { INITIAL_CONNECT_TIMEOUT } else { OWN_CONNECT_TIMEOUT }
+        if self.is_shared { INITIAL_CONNECT_TIMEOUT } else { AGENT_CONNECT_TIMEOUT }
     }
 
     /// The longest time limit of establishing a connection to the service. A service of its own tells what it has as soon as
     /// it is back, so that no attempt may last long.
     pub(super) fn longest_connect_timeout(&self) -> Duration {
-        if self.is_shared { self.max_change_age.mul_f64(CONNECT_FRACTION) } else { OWN_CONNECT_TIMEOUT }
+        if self.is_shared { self.max_staleness.mul_f64(CONNECT_FRACTION) } else { AGENT_CONNECT_TIMEOUT }
     }
 
     /// How long after it was current a list is still acted on, if the service can be reached and tells nothing newer.
-    /// Each change since must be known after [`Self::max_change_age`], and calls must stop within the grace after that.
+    /// Each change since must be known after [`Self::max_staleness`], and calls must stop within the grace after that.
     /// It is shorter by the time that a call may be held up until its first byte.
     pub(super) fn usable_for(&self) -> Duration {
-        (self.max_change_age + self.drain_grace).saturating_sub(self.hold_up())
+        (self.max_staleness + self.drain_grace).saturating_sub(self.longest_write_delay())
     }
 
     /// How long after its start the first process with a state folder acts on the list in its configuration, if the service
     /// tells nothing.
     pub(super) fn usable_without_call(&self) -> Duration {
-        (self.max_age_without_call + self.drain_grace).saturating_sub(self.hold_up())
+        (self.max_staleness_without_call + self.drain_grace).saturating_sub(self.longest_write_delay())
     }
 
     /// How long after another address of the service was configured a change must be known that it has.
-    pub(super) fn max_age_after_address_change() -> Duration {
-        MAX_AGE_AFTER_ADDRESS_CHANGE
+    pub(super) fn max_staleness_after_address_change() -> Duration {
+        MAX_STALENESS_AFTER_ADDRESS_CHANGE
     }
 
     /// How long the last list is still acted on after the address of the service has changed, if the new address can be
     /// reached and tells nothing.
     pub(super) fn usable_after_address_change(&self) -> Duration {
-        let difference = MAX_CHANGE_AGE.saturating_sub(MAX_AGE_AFTER_ADDRESS_CHANGE);
+        let difference = MAX_STALENESS.saturating_sub(MAX_STALENESS_AFTER_ADDRESS_CHANGE);
         self.usable_for().saturating_sub(difference)
     }
 
     /// How long the list is still acted on after the last bytes of a response that was not read to its end. What it tells
     /// must be known from the moment in which it was written.
-    pub(super) fn usable_after_lost_response(&self) -> Duration {
-        self.drain_grace.saturating_sub(self.hold_up())
+    pub(super) fn usable_after_missed_change(&self) -> Duration {
+        self.drain_grace.saturating_sub(self.longest_write_delay())
     }
 
     /// How long the list of a process that has handed over to this one is still acted on, if the service tells nothing.
     pub(super) fn usable_after_handover(&self) -> Duration {
-        (MAX_AGE_AFTER_HANDOVER + self.drain_grace).saturating_sub(self.hold_up())
+        (MAX_STALENESS_AFTER_HANDOVER + self.drain_grace).saturating_sub(self.longest_write_delay())
     }
 
     /// How long a process waits for a shared service that is down to confirm its list. `None` if there is no limit: an agent
     /// may have had a change before this process started.
-    pub(super) fn longest_confirmation(&self) -> Option<Duration> {
-        self.is_shared.then_some(self.max_change_age)
+    pub(super) fn longest_confirmation_wait(&self) -> Option<Duration> {
+        self.is_shared.then_some(self.max_staleness)
     }
 
     /// Whether other senders call the same service. If so, a list that is too old is not acted on; a service that sends
@@ -316,7 +316,7 @@
     }
 
     /// The longest time between a decision to call an endpoint and the first byte.
-    fn hold_up(&self) -> Duration {
+    fn longest_write_delay(&self) -> Duration {
         MAX_PROCESS_PAUSE + EVENT_HANDLING + self.turn_interval
     }
 }
--- a/src/forwarder/discovery/list_age/tests.rs
+++ b/src/forwarder/discovery/list_age/tests.rs
@@ -10,7 +10,7 @@
 const MAX_BACKOFF_JITTER: f64 = 1.5;
 
 /// The latest start of a call that follows a watch without a response, counted from the start of the watch.
-fn latest_call_after_silence(bounds: &ListAgeBounds, load: &ServiceLoad) -> Duration {
+fn latest_call_after_unanswered_watch(bounds: &ListAgeBounds, load: &ServiceLoad) -> Duration {
     bounds.overdue_after(bounds.watch_duration(load), load)
 }
 
@@ -52,57 +52,57 @@
 
 proptest! {
     #[test]
-    fn a_change_after_silence_is_heard_before_calls_are_held(
+    fn a_call_follows_an_unanswered_watch_before_the_list_becomes_stale(
         settings in any_settings(),
         load in any_load(),
     ) {
         let bounds = ListAgeBounds::new(&settings);
         let wait = bounds.watch_duration(&load);
-        let latest = latest_call_after_silence(&bounds, &load);
+        let latest = latest_call_after_unanswered_watch(&bounds, &load);
         prop_assert!(latest < bounds.usable_during_watch(wait), "{latest:?}");
         // Short watches leave the service time to respond as well.
         if !bounds.has_long_watches() {
-            prop_assert!(latest + RESPONSE_TIME <= bounds.max_change_age, "{latest:?}");
+            prop_assert!(latest + RESPONSE_TIME <= bounds.max_staleness, "{latest:?}");
         }
     }
 
     #[test]
-    fn a_list_is_acted_on_no_longer_than_a_silent_watch_may_hide_a_change(
+    fn a_list_is_used_no_longer_than_an_unanswered_watch_may_miss_a_change(
         settings in any_settings(),
         load in any_load(),
     ) {
         let bounds = ListAgeBounds::new(&settings);
         let wait = bounds.watch_duration(&load);
         let latest_write = bounds.usable_during_watch(wait) + MAX_PROCESS_PAUSE + EVENT_HANDLING;
-        let known_after = MAX_CHANGE_AGE.max(wait + Duration::from_secs(2));
+        let known_after = MAX_STALENESS.max(wait + Duration::from_secs(2));
         prop_assert!(latest_write <= known_after + bounds.drain_grace, "{latest_write:?}");
         prop_assert!(wait <= MAX_WATCH);
     }
 
     #[test]
-    fn a_service_that_returns_is_called_before_its_changes_must_be_known_in_a_small_fleet(
+    fn a_small_fleet_calls_a_restored_service_within_the_maximum_staleness(
         settings in any_settings(),
     ) {
         let bounds = ListAgeBounds::new(&settings);
         let latest = bounds.longest_connect_timeout() + RESPONSE_TIME;
-        prop_assert!(latest <= bounds.max_change_age, "{latest:?}");
+        prop_assert!(latest <= bounds.max_staleness, "{latest:?}");
         if bounds.is_shared && bounds.senders > 24.0 {
             return Ok(());
         }
         let latest = bounds.longest_outage_backoff().mul_f64(MAX_BACKOFF_JITTER) + RESPONSE_TIME;
-        prop_assert!(latest <= bounds.max_change_age, "{latest:?}");
+        prop_assert!(latest <= bounds.max_staleness, "{latest:?}");
         let latest = latest_call_after_failure(&bounds) + RESPONSE_TIME;
-        prop_assert!(latest <= bounds.max_change_age, "{latest:?}");
+        prop_assert!(latest <= bounds.max_staleness, "{latest:?}");
     }
 
     #[test]
-    fn calls_stop_within_the_grace_even_if_the_process_is_held_up(settings in any_settings()) {
+    fn calls_stop_within_the_grace_even_if_the_process_pauses(settings in any_settings()) {
         let bounds = ListAgeBounds::new(&settings);
         let latest_write = bounds.usable_for() + MAX_PROCESS_PAUSE + EVENT_HANDLING;
-        prop_assert!(latest_write <= bounds.max_change_age + bounds.drain_grace);
+        prop_assert!(latest_write <= bounds.max_staleness + bounds.drain_grace);
         let latest_write = bounds.usable_after_address_change() + MAX_PROCESS_PAUSE + EVENT_HANDLING;
-        prop_assert!(latest_write <= MAX_AGE_AFTER_ADDRESS_CHANGE + bounds.drain_grace);
-        let latest_write = bounds.usable_after_lost_response() + MAX_PROCESS_PAUSE + EVENT_HANDLING;
+        prop_assert!(latest_write <= MAX_STALENESS_AFTER_ADDRESS_CHANGE + bounds.drain_grace);
+        let latest_write = bounds.usable_after_missed_change() + MAX_PROCESS_PAUSE + EVENT_HANDLING;
         prop_assert!(latest_write <= bounds.drain_grace);
     }
 
@@ -119,7 +119,7 @@
         prop_assert!(watches <= (SHARED_CALLS_PER_SECOND * 1.01).max(rate(MAX_WATCH)), "{watches}");
         // A service for a fleet so large that these intervals are the longest has a larger capacity.
         let per_sender = rate(MAX_SHARED_RETRY_INTERVAL);
-        prop_assert!(rate(bounds.overlap_interval()) <= (SHARED_CALLS_PER_SECOND * 1.01).max(per_sender));
+        prop_assert!(rate(bounds.hedge_interval()) <= (SHARED_CALLS_PER_SECOND * 1.01).max(per_sender));
         for interval in [bounds.initial_rejection_backoff(), bounds.longest_backoff()] {
             prop_assert!(rate(interval) <= (SHARED_RETRIES_PER_SECOND * 1.01).max(per_sender));
         }
--- a/src/forwarder/discovery/list_age_monitor.rs
+++ b/src/forwarder/discovery/list_age_monitor.rs
@@ -28,7 +28,7 @@
     /// When the list must not be acted on unless the service confirms it.
     unconfirmed: Vec<UnconfirmedPeriod>,
     /// Responses of which bytes have arrived, and which were not read to their end. Each may tell of a drain.
-    unread: Vec<UnreadResponse>,
+    partial_responses: Vec<PartialResponse>,
     /// When the first connection broke with which a response may have been lost. It may have told of a drain.
     lost_response_at: Option<Instant>,
     /// When the first watch was answered whose next call the service may not have taken up in time. It may have told the watch
@@ -74,7 +74,7 @@
         if self.is_delayed_by_outages {
             self.from = self.from.max(at + bounds.usable_for());
         } else {
-            self.until = bounds.longest_confirmation().map(|longest| self.from + longest);
+            self.until = bounds.longest_confirmation_wait().map(|longest| self.from + longest);
         }
     }
 
@@ -84,7 +84,7 @@
 }
 
 /// A response of the service that has started, and has not ended yet or never will.
-struct UnreadResponse {
+struct PartialResponse {
     /// The number of its call.
     call: u64,
     /// When bytes of it arrived last. What follows them may have been written, and lost.
@@ -110,7 +110,7 @@
             expires_at: start + bounds.usable_for(),
             expires_during_watch_at: None,
             unconfirmed: vec![unconfirmed],
-            unread: Vec::new(),
+            partial_responses: Vec::new(),
             lost_response_at: None,
             watch_gap_at: None,
             reported: ListAge::Fresh,
@@ -128,7 +128,7 @@
         self.unconfirmed.retain(|period| at < period.current_since);
         self.current_at = self.current_at.max(at);
         self.expires_during_watch_at = None;
-        self.unread.retain(|unread| at < unread.progress_at);
+        self.partial_responses.retain(|response| at < response.progress_at);
         self.lost_response_at.take_if(|lost_at| *lost_at <= at);
         self.watch_gap_at.take_if(|gap_at| *gap_at <= at);
     }
@@ -175,24 +175,24 @@
     /// Bytes of the response to this call have arrived. What it tells must be known soon, even if the rest does not arrive.
     pub(super) fn record_response_progress(&mut self, call: u64, at: Instant) {
         self.record_response_end(call);
-        self.unread.push(UnreadResponse { call, progress_at: at });
+        self.partial_responses.push(PartialResponse { call, progress_at: at });
     }
 
     /// The response to this call was read to its end.
     pub(super) fn record_response_end(&mut self, call: u64) {
-        self.unread.retain(|unread| unread.call != call);
+        self.partial_responses.retain(|response| response.call != call);
     }
 
     /// Whether bytes of the response to this call have arrived, and it was not read to its end.
-    pub(super) fn is_unread(&self, call: u64) -> bool {
-        self.unread.iter().any(|unread| unread.call == call)
+    pub(super) fn has_partial_response(&self, call: u64) -> bool {
+        self.partial_responses.iter().any(|response| response.call == call)
     }
 
     /// From when on the list must not be acted on because of a response that was lost, or not read to its end.
-    fn unread_from(&self) -> Option<Instant> {
-        let unread = self.unread.iter().map(|unread| unread.progress_at);
-        let earliest = unread.chain(self.lost_response_at).chain(self.watch_gap_at).min()?;
-        Some(earliest + self.bounds.usable_after_lost_response())
+    fn missed_change_expiry(&self) -> Option<Instant> {
+        let partial = self.partial_responses.iter().map(|response| response.progress_at);
+        let earliest = partial.chain(self.lost_response_at).chain(self.watch_gap_at).min()?;
+        Some(earliest + self.bounds.usable_after_missed_change())
     }
 
     fn expiry(&self) -> Instant {
@@ -205,7 +205,7 @@
         let usable_until = at + self.bounds.usable_after_address_change();
         self.expires_at = self.expires_at.min(usable_until);
         self.expires_during_watch_at = None;
-        let current_since = at + ListAgeBounds::max_age_after_address_change();
+        let current_since = at + ListAgeBounds::max_staleness_after_address_change();
         self.unconfirmed.push(UnconfirmedPeriod::new(current_since, usable_until));
     }
 
@@ -220,7 +220,7 @@
         match self.reported {
             ListAge::Fresh => {
                 let unconfirmed_from = self.unconfirmed.iter().map(|period| period.from);
-                unconfirmed_from.chain(expiry).chain(self.unread_from()).min()
+                unconfirmed_from.chain(expiry).chain(self.missed_change_expiry()).min()
             }
             ListAge::Stale => self.unconfirmed.iter().filter_map(|period| period.until).min(),
         }
@@ -231,8 +231,9 @@
         self.unconfirmed.retain(|period| period.until.is_none_or(|until| now < until));
         let is_unconfirmed = self.unconfirmed.iter().any(|period| period.contains(now));
         let is_expired = self.bounds.is_shared() && self.expiry() <= now;
-        let is_unread = self.unread_from().is_some_and(|from| from <= now);
-        let age = if is_unconfirmed || is_expired || is_unread { ListAge::Stale } else { ListAge::Fresh };
+        let may_lack_change = self.missed_change_expiry().is_some_and(|from| from <= now);
+        let age =
+            if is_unconfirmed || is_expired || may_lack_change { ListAge::Stale } else { ListAge::Fresh };
         let previous = std::mem::replace(&mut self.reported, age);
         (previous != age).then_some(age)
     }
--- a/src/forwarder/discovery/list_age_monitor/tests.rs
+++ b/src/forwarder/discovery/list_age_monitor/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_list_expires_before_a_change_after_it_must_be_known_and_the_grace_is_over() {
+fn a_list_becomes_stale_at_the_freshness_bound() {
     let start = Instant::now();
     for sender_count in [3, 40, 41, 900] {
         let mut monitor = first_list(&Settings { sender_count, ..settings() }, start);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_list_does_not_expire_where_silence_may_be_an_outage() {
+fn the_list_of_an_agent_does_not_expire() {
     let start = Instant::now();
     let mut monitor = first_list(&pushed(), start);
     monitor.record_current(start);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn the_first_process_uses_its_list_until_a_change_since_its_start_must_be_known() {
+fn the_first_process_uses_its_list_for_the_freshness_bound_after_its_start() {
     let start = Instant::now();
     let origin = ListOrigin::FirstConfiguration;
     let short = Settings { max_list_age: 2_000_000, ..settings() };
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn the_list_of_a_predecessor_is_used_until_its_successor_must_know_what_it_was_told() {
+fn the_list_of_a_predecessor_is_used_until_the_freshness_bound_after_a_handover() {
     let start = Instant::now();
     for settings in [settings(), pushed()] {
         let mut monitor = ListAgeMonitor::new(ListAgeBounds::new(&settings), start, ListOrigin::Predecessor);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_list_from_another_address_is_used_until_the_new_one_must_be_known_to_have_changed_it() {
+fn the_list_of_an_old_address_is_used_until_the_freshness_bound_after_the_address_change() {
     let start = Instant::now();
     let mut monitor = first_list(&pushed(), start);
     monitor.record_current(start);
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_second_change_of_address_does_not_put_off_what_the_first_one_has_to_tell() {
+fn a_second_address_change_does_not_postpone_the_freshness_bound_of_the_first() {
     let start = Instant::now();
     for settings in [settings(), pushed()] {
         let mut monitor = first_list(&settings, start);
@@ -223,9 +223,9 @@
     let start = Instant::now();
     for mut monitor in monitors(start) {
         monitor.record_response_progress(4, start + seconds(1.0));
-        assert!(monitor.is_unread(4) && !monitor.is_unread(3));
+        assert!(monitor.has_partial_response(4) && !monitor.has_partial_response(3));
         monitor.record_response_end(4);
-        assert!(!monitor.is_unread(4));
+        assert!(!monitor.has_partial_response(4));
         assert_eq!(monitor.change(start + seconds(2.0)), None);
     }
 }
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn an_outage_does_not_undo_what_a_watch_may_have_been_told_before_its_next_call() {
+fn an_outage_does_not_clear_a_possible_change_between_two_watches() {
     let start = Instant::now();
     for mut monitor in monitors(start) {
         monitor.record_watch_gap(start + seconds(1.0));
--- a/src/forwarder/discovery/outage_detector.rs
+++ b/src/forwarder/discovery/outage_detector.rs
@@ -65,7 +65,7 @@
 
 impl FailedCall {
     /// Whether a watch was rejected so soon that the service may not have taken it up.
-    pub(super) fn ended_watch_not_taken_up(&self) -> bool {
+    pub(super) fn ended_unestablished_watch(&self) -> bool {
         self.was_healthy_watch && self.kind.is_rejection() && self.elapsed <= MIN_ESTABLISHED_WATCH
     }
 
@@ -120,9 +120,9 @@
     /// A call failed. Returns what that tells.
     pub(super) fn record_failure(&mut self, call: FailedCall) -> ServiceState {
         let failure = Some(call.kind);
-        let breaks_on = self.state == ServiceState::Down { failure: Some(FailureKind::Broken) }
+        let breaks_again = self.state == ServiceState::Down { failure: Some(FailureKind::Broken) }
             && call.kind == FailureKind::Broken;
-        self.is_check_due = breaks_on && !self.is_check_due;
+        self.is_check_due = breaks_again && !self.is_check_due;
         self.state = match (self.state, call.kind) {
             (_, FailureKind::Unreachable) => ServiceState::Down { failure },
             _ if call.ended_established_watch() => ServiceState::Down { failure: None },
--- a/src/forwarder/discovery/outage_detector/tests.rs
+++ b/src/forwarder/discovery/outage_detector/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn connections_tell_whether_the_service_is_down() {
+fn failed_connections_show_whether_the_service_is_down() {
     let breaking = |connections| ServiceState::Breaking { connections };
     let down = |failure| ServiceState::Down { failure: Some(failure) };
     let cases: [(&[FailureKind], ServiceState); 9] = [
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn rejections_tell_of_an_outage_only_after_an_established_watch_has_ended() {
+fn rejections_indicate_an_outage_only_after_an_established_watch_has_ended() {
     let down = |failure| ServiceState::Down { failure };
     let cases: [(&[FailedCall], ServiceState); 9] = [
         (&[call(RejectedAtOnce)], ServiceState::Reachable),
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn errors_tell_how_a_call_has_failed() {
+fn errors_determine_the_failure_kind() {
     let rejection = || CallError::Status(StatusCode::SERVICE_UNAVAILABLE);
     let cases = [
         (CallError::Connect(io::ErrorKind::TimedOut.into()), 500, false, Unreachable),
--- a/src/forwarder/discovery/schedule.rs
+++ b/src/forwarder/discovery/schedule.rs
@@ -10,17 +10,17 @@
 
 /// What a call follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum CallPosition {
+pub(super) enum CallContext {
     /// Nothing: it is the first one, whose response confirms the list in use.
     First,
     /// A response with a list, right away.
     AfterList,
     /// The same, and that the service takes up the next call in time is not known.
-    AfterUncheckedList,
+    AfterPossiblyLateList,
     /// A call that failed.
     AfterFailure,
     /// A call that is overdue and still open. A change may have been lost with its response.
-    BesideOverdue,
+    Hedge,
 }
 
 /// Chooses the queries and the delays between them.
@@ -76,19 +76,19 @@
     pub(super) fn query(
         &self,
         known_revision: Option<u64>,
-        position: CallPosition,
+        context: CallContext,
         is_confirmed: bool,
     ) -> ListQuery {
         let Some(since_revision) = known_revision else { return ListQuery::Complete };
-        let wait = match position {
-            CallPosition::BesideOverdue => return ListQuery::Complete,
-            CallPosition::AfterList => self.bounds.watch_duration(&self.load),
-            CallPosition::AfterUncheckedList => ListAgeBounds::check_watch_duration(),
-            CallPosition::AfterFailure if self.bounds.has_long_watches() || is_confirmed => {
+        let wait = match context {
+            CallContext::Hedge => return ListQuery::Complete,
+            CallContext::AfterList => self.bounds.watch_duration(&self.load),
+            CallContext::AfterPossiblyLateList => ListAgeBounds::verification_watch_duration(),
+            CallContext::AfterFailure if self.bounds.has_long_watches() || is_confirmed => {
                 self.bounds.first_watch_duration(&self.load)
             }
             // A response at once, which is short if nothing has changed.
-            CallPosition::First | CallPosition::AfterFailure => Duration::ZERO,
+            CallContext::First | CallContext::AfterFailure => Duration::ZERO,
         };
         ListQuery::Changes { since_revision, wait }
     }
@@ -99,13 +99,13 @@
     }
 
     /// The time after which the next call is made beside those that are open.
-    pub(super) fn next_call_after(&self, query: ListQuery, position: CallPosition) -> Duration {
-        match position {
-            CallPosition::BesideOverdue => self.bounds.overlap_interval(),
-            CallPosition::First
-            | CallPosition::AfterList
-            | CallPosition::AfterUncheckedList
-            | CallPosition::AfterFailure => self.overdue_after(query),
+    pub(super) fn hedge_after(&self, query: ListQuery, context: CallContext) -> Duration {
+        match context {
+            CallContext::Hedge => self.bounds.hedge_interval(),
+            CallContext::First
+            | CallContext::AfterList
+            | CallContext::AfterPossiblyLateList
+            | CallContext::AfterFailure => self.overdue_after(query),
         }
     }
 
--- a/src/forwarder/discovery/tests.rs
+++ b/src/forwarder/discovery/tests.rs
@@ -1,7 +1,7 @@
 use super::list_age::ListAgeBounds;
 use super::outage_detector::FailureKind;
 use super::request::ListQuery;
-use super::schedule::{CallPosition, CallSchedule};
+use super::schedule::{CallContext, CallSchedule};
 use super::{InitialList, ListAge, ListOrigin};
 use crate::interface::Settings;
 use std::time::Duration;
@@ -25,15 +25,15 @@
     let fleets = [(settings(3), 4000), (settings(40), 4000), (settings(41), 4100), (settings(300), 30_000)];
     for (settings, watch_ms) in fleets.into_iter().chain([(settings(900), 60_000), (pushed, 2000)]) {
         let schedule = schedule(&settings);
-        assert_eq!(schedule.query(Some(7), CallPosition::First, false), watch(0));
-        assert_eq!(schedule.query(Some(7), CallPosition::AfterList, true), watch(watch_ms));
+        assert_eq!(schedule.query(Some(7), CallContext::First, false), watch(0));
+        assert_eq!(schedule.query(Some(7), CallContext::AfterList, true), watch(watch_ms));
     }
 }
 
 #[test]
 fn a_long_watch_follows_a_failure_only_once_a_short_one_was_answered() {
     let query = |senders, is_confirmed| {
-        schedule(&settings(senders)).query(Some(7), CallPosition::AfterFailure, is_confirmed)
+        schedule(&settings(senders)).query(Some(7), CallContext::AfterFailure, is_confirmed)
     };
     assert_eq!([query(300, false), query(300, true)], [watch(300); 2]);
     assert_eq!([query(6, false), query(6, true)], [watch(0), watch(4000)]);
@@ -43,9 +43,9 @@
 fn the_complete_list_is_requested_beside_an_overdue_call_or_if_changes_do_not_suffice() {
     for senders in [6, 300] {
         let schedule = schedule(&settings(senders));
-        assert_eq!(schedule.query(Some(7), CallPosition::BesideOverdue, true), ListQuery::Complete);
-        for position in [CallPosition::First, CallPosition::AfterList, CallPosition::AfterFailure] {
-            assert_eq!(schedule.query(None, position, true), ListQuery::Complete);
+        assert_eq!(schedule.query(Some(7), CallContext::Hedge, true), ListQuery::Complete);
+        for context in [CallContext::First, CallContext::AfterList, CallContext::AfterFailure] {
+            assert_eq!(schedule.query(None, context, true), ListQuery::Complete);
         }
     }
 }
