--- a/src/forwarder/discovery/list_age/tests.rs
+++ b/src/forwarder/discovery/list_age/tests.rs
@@ -1,20 +1,20 @@
-//! Properties of the bounds, over random settings and fleets of 1 to 900 senders.
+//! Properties of the bounds, for random settings and fleets of 1 to 900 senders.
 
 use super::*;
 use proptest::prelude::*;
 
-/// The time that the service may take for a response to a call made in good time.
+/// The longest response time of the service.
 const RESPONSE_TIME: Duration = Duration::from_millis(1500);
 
 /// The largest jitter factor of a backoff.
 const MAX_BACKOFF_JITTER: f64 = 1.5;
 
-/// The latest start of a call that follows a watch without a response, counted from the start of the watch.
+/// The longest time from the start of a watch without a response to the start of the next call.
 fn latest_call_after_unanswered_watch(bounds: &ListAgeBounds, load: &ServiceLoad) -> Duration {
     bounds.overdue_after(bounds.watch_duration(load), load)
 }
 
-/// A service that responds after these times or, where there is none, fails.
+/// The load of a service whose calls return a list after a random time, or fail.
 fn any_load() -> impl Strategy<Value = ServiceLoad> {
     prop::collection::vec(prop::option::of(0..8000_u64), 0..20).prop_map(|calls| {
         let mut load = ServiceLoad::new();
@@ -28,7 +28,7 @@
     })
 }
 
-/// The latest start of a call that follows a failed one, counted from the failure.
+/// The longest time from the failure of a call to the start of the next one.
 fn latest_call_after_failure(bounds: &ListAgeBounds) -> Duration {
     bounds.longest_backoff().mul_f64(MAX_BACKOFF_JITTER)
 }
@@ -114,10 +114,11 @@
         }
         let senders = settings.sender_count as f64;
         let rate = |interval: Duration| senders / interval.as_secs_f64();
-        // A fleet whose watches would have to be longer than the service allows makes more calls.
+        // In a fleet whose watches would have to be longer than the maximum, the rate is higher.
         let watches = rate(bounds.watch_duration(&ServiceLoad::new()));
         prop_assert!(watches <= (SHARED_CALLS_PER_SECOND * 1.01).max(rate(MAX_WATCH)), "{watches}");
-        // A service for a fleet so large that these intervals are the longest has a larger capacity.
+        // In a fleet that reaches the longest intervals, the rate is higher: its service has a larger
+        // capacity.
         let per_sender = rate(MAX_SHARED_RETRY_INTERVAL);
         prop_assert!(rate(bounds.hedge_interval()) <= (SHARED_CALLS_PER_SECOND * 1.01).max(per_sender));
         for interval in [bounds.initial_rejection_backoff(), bounds.longest_backoff()] {
