--- a/src/forwarder/discovery/list_age_monitor.rs
+++ b/src/forwarder/discovery/list_age_monitor.rs
@@ -1,62 +1,73 @@
-//! Watches the age of the endpoint list in use.
+//! Decides whether the endpoint list in use is fresh or stale, by the freshness bound of [`list_age`].
+//!
+//! The list becomes stale when its age reaches the bound, and earlier if the service may have sent a change
+//! that did not arrive. A list that the service has not confirmed, for example that of the configuration, is
+//! stale from the start of the process or from a later time that depends on its origin.
+//!
+//! [`list_age`]: super::list_age
 
 use super::list_age::ListAgeBounds;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Whether the endpoint list in use may be acted on.
+/// Whether the endpoint list in use is recent enough for calls to endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListAge {
     /// Calls may start.
     Fresh,
-    /// The service can be reached and has told nothing for so long that endpoints may have been drained since.
+    /// No call may start: the age of the list has reached the freshness bound, so that endpoints may have
+    /// been drained.
     Stale,
 }
 
-/// Decides when the list is too old.
+/// Decides when the list becomes stale or fresh.
 ///
-/// The age counts from the latest moment at which the list was known to be current, or at which the service may have
-/// been down: what it could not tell yet need not be known.
+/// The age counts from the latest moment at which the list was known to be current, or at which the service
+/// was down: a service that is down cannot send a change.
 pub(super) struct ListAgeMonitor {
     bounds: ListAgeBounds,
-    /// The latest moment at which the list was known to be current; the start of the process if there is none.
+    /// The latest moment at which the list was known to be current; the start of the process if there is
+    /// none.
     current_at: Instant,
-    /// The list is too old from this time on, if it expires.
+    /// The list is stale from this time on, unless it is that of a local agent.
     expires_at: Instant,
-    /// The same while the watch is open that followed the list, and no call has failed since.
+    /// While the watch that followed the list is open and no call has failed, the list is stale only from
+    /// this time on, if that is later.
     expires_during_watch_at: Option<Instant>,
-    /// When the list must not be acted on unless the service confirms it.
+    /// The periods in which the list is stale unless the service confirms it.
     unconfirmed: Vec<UnconfirmedPeriod>,
-    /// Responses of which bytes have arrived, and which were not read to their end. Each may tell of a drain.
+    /// Responses of which bytes have arrived, and which were not read to their end. Each may contain a drain.
     partial_responses: Vec<PartialResponse>,
-    /// When the first connection broke with which a response may have been lost. It may have told of a drain.
+    /// When the first connection broke with which a response may have been lost. The response may contain a
+    /// drain.
     lost_response_at: Option<Instant>,
-    /// When the first watch was answered whose next call the service may not have taken up in time. It may have told the watch
-    /// of a change between the two.
+    /// When the first response to a watch arrived after which the service may not have accepted the next call
+    /// in time. A change between the two counts as sent.
     watch_gap_at: Option<Instant>,
     reported: ListAge,
 }
 
-/// What the list in use comes from, if the service has not confirmed it.
+/// The origin of a list that the service has not confirmed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ListOrigin {
-    /// The configuration of the first process with its state folder. Nothing was told since.
+    /// The configuration of the first process with its state folder. The service has sent nothing since.
     FirstConfiguration,
-    /// The configuration of the process. The list may be older than what the process before was told.
+    /// The configuration of a later process. The list may lack changes that the service has sent to an
+    /// earlier process.
     Configuration,
     /// The process that has handed over to this one.
     Predecessor,
 }
 
-/// When a list must not be acted on that the service has not confirmed.
+/// A period in which the list is stale unless the service has confirmed it.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedPeriod {
-    /// A list that was current at this time or later confirms the one in use.
+    /// The list in use is confirmed by a response that was current at this time or later.
     current_since: Instant,
     from: Instant,
-    /// The service, which was down before, is assumed to stay so after this time.
+    /// The end of the period, if the service was down: it is assumed to stay down.
     until: Option<Instant>,
-    /// Nothing was told that this process does not know: the period begins later if the service is down.
+    /// Whether an outage postpones the period, because the service has sent no change that the list lacks.
     is_delayed_by_outages: bool,
 }
 
@@ -69,7 +80,7 @@
         UnconfirmedPeriod { is_delayed_by_outages: true, ..self }
     }
 
-    /// The service was down at this time.
+    /// Records that the service was down at this time.
     fn record_outage(&mut self, at: Instant, bounds: &ListAgeBounds) {
         if self.is_delayed_by_outages {
             self.from = self.from.max(at + bounds.usable_for());
@@ -87,18 +98,18 @@
 struct PartialResponse {
     /// The number of its call.
     call: u64,
-    /// When bytes of it arrived last. What follows them may have been written, and lost.
+    /// When bytes of it arrived last. Further bytes may have been written and lost.
     progress_at: Instant,
 }
 
 impl ListAgeMonitor {
-    /// The list that the process starts with at this time.
+    /// Creates the monitor of the list that the process starts with at this time.
     pub(super) fn new(bounds: ListAgeBounds, start: Instant, origin: ListOrigin) -> Self {
         let unconfirmed = match origin {
             ListOrigin::FirstConfiguration if bounds.is_shared() => {
                 UnconfirmedPeriod::new(start, start + bounds.usable_without_call()).delayed_by_outages()
             }
-            // What an agent has counts as told from the start of the process on.
+            // A change that an agent has counts as sent from the start of the process on.
             ListOrigin::FirstConfiguration | ListOrigin::Configuration => {
                 UnconfirmedPeriod::new(start, start)
             }
@@ -122,7 +133,7 @@
         self.unconfirmed.is_empty()
     }
 
-    /// The list was current at this time.
+    /// Records that the list was current at this time.
     pub(super) fn record_current(&mut self, at: Instant) {
         self.renew(at);
         self.unconfirmed.retain(|period| at < period.current_since);
@@ -133,12 +144,12 @@
         self.watch_gap_at.take_if(|gap_at| *gap_at <= at);
     }
 
-    /// A watch began at this time, right after the list was read.
+    /// Records that a watch started at this time, right after the list was received.
     pub(super) fn record_watch(&mut self, at: Instant, wait: Duration) {
         self.expires_during_watch_at = Some(at + self.bounds.usable_during_watch(wait));
     }
 
-    /// A call failed.
+    /// Records that a call failed.
     pub(super) fn record_failure(&mut self) {
         self.expires_during_watch_at = None;
     }
@@ -148,7 +159,8 @@
         now.saturating_duration_since(self.current_at)
     }
 
-    /// The service was down at this time. Whether it had told the process before of a change is not known by that.
+    /// Records that the service was down at this time. An outage does not confirm a list: the service may
+    /// have sent a change before.
     pub(super) fn record_outage(&mut self, at: Instant) {
         self.renew(at);
         self.lost_response_at = None;
@@ -157,13 +169,15 @@
         }
     }
 
-    /// A connection broke at this time, and a response that was written may not have arrived. What it told must be known.
+    /// Records that a connection broke at this time. A response may have been written and lost, and the
+    /// changes in it count as sent.
     pub(super) fn record_lost_response(&mut self, at: Instant) {
         self.lost_response_at.get_or_insert(at);
     }
 
-    /// A watch was answered at this time, and the service may have told it of a change since that has not arrived. An outage does
-    /// not undo that.
+    /// Records that the response to a watch arrived at this time, and that the service may not have accepted
+    /// the next call in time. A change between the two counts as sent, also if the service goes down
+    /// afterwards.
     pub(super) fn record_watch_gap(&mut self, at: Instant) {
         self.watch_gap_at.get_or_insert(at);
     }
@@ -172,13 +186,14 @@
         self.expires_at = self.expires_at.max(at + self.bounds.usable_for());
     }
 
-    /// Bytes of the response to this call have arrived. What it tells must be known soon, even if the rest does not arrive.
+    /// Records that bytes of the response to this call have arrived. The changes in it count as sent, even if
+    /// the rest does not arrive.
     pub(super) fn record_response_progress(&mut self, call: u64, at: Instant) {
         self.record_response_end(call);
         self.partial_responses.push(PartialResponse { call, progress_at: at });
     }
 
-    /// The response to this call was read to its end.
+    /// Records that the response to this call was read to its end.
     pub(super) fn record_response_end(&mut self, call: u64) {
         self.partial_responses.retain(|response| response.call != call);
     }
@@ -188,7 +203,7 @@
         self.partial_responses.iter().any(|response| response.call == call)
     }
 
-    /// From when on the list must not be acted on because of a response that was lost, or not read to its end.
+    /// From when on the list is stale because the service may have sent a change that did not arrive.
     fn missed_change_expiry(&self) -> Option<Instant> {
         let partial = self.partial_responses.iter().map(|response| response.progress_at);
         let earliest = partial.chain(self.lost_response_at).chain(self.watch_gap_at).min()?;
@@ -199,8 +214,9 @@
         self.expires_during_watch_at.map_or(self.expires_at, |at| at.max(self.expires_at))
     }
 
-    /// Another address of the service was configured at this time. What that has to tell some time later must be known
-    /// then, also what is changed after its first list.
+    /// Records that another address of the service was configured at this time. The list must include all
+    /// changes that the service there has [`ListAgeBounds::max_staleness_after_address_change`] later, also
+    /// those made after its first list.
     pub(super) fn record_address_change(&mut self, at: Instant) {
         let usable_until = at + self.bounds.usable_after_address_change();
         self.expires_at = self.expires_at.min(usable_until);
@@ -209,12 +225,12 @@
         self.unconfirmed.push(UnconfirmedPeriod::new(current_since, usable_until));
     }
 
-    /// From when on a list has to be current next to confirm the one in use, if that is later than this time.
+    /// The earliest time after `now` at which the list has to be current to be confirmed.
     pub(super) fn next_confirmation(&self, now: Instant) -> Option<Instant> {
         self.unconfirmed.iter().map(|period| period.current_since).filter(|at| now < *at).min()
     }
 
-    /// When the state will change, should nothing be recorded before.
+    /// When the state changes next, if nothing is recorded before.
     pub(super) fn next_change(&self) -> Option<Instant> {
         let expiry = self.bounds.is_shared().then(|| self.expiry());
         match self.reported {
@@ -226,7 +242,7 @@
         }
     }
 
-    /// The state at this time, if it differs from the one that was returned last.
+    /// Returns the state at this time, if it differs from the one that was returned last.
     pub(super) fn change(&mut self, now: Instant) -> Option<ListAge> {
         self.unconfirmed.retain(|period| period.until.is_none_or(|until| now < until));
         let is_unconfirmed = self.unconfirmed.iter().any(|period| period.contains(now));
--- a/src/forwarder/discovery/list_age_monitor/tests.rs
+++ b/src/forwarder/discovery/list_age_monitor/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::Settings;
 use std::time::Duration;
 
-/// The list of a sender that asks a service which few senders share.
+/// The settings of a sender that polls a service which few senders share.
 fn settings() -> Settings {
     Settings {
         poll_discovery: true,
@@ -13,6 +13,7 @@
     }
 }
 
+/// The settings of a sender with a local agent.
 fn pushed() -> Settings {
     Settings { poll_discovery: false, ..settings() }
 }
@@ -51,7 +52,7 @@
         monitor.record_outage(start + seconds(f64::from(second)));
         assert_eq!(monitor.change(start + seconds(f64::from(second) + 0.9)), None);
     }
-    // It counts anew once the service can be reached.
+    // The age counts from the last moment of the outage.
     assert_eq!(monitor.change(start + seconds(59.0 + 6.5)), Some(ListAge::Stale));
 }
 
@@ -81,7 +82,7 @@
         let mut monitor = first_list(&settings, start);
         assert_eq!(monitor.change(start), Some(ListAge::Stale));
         assert_eq!(monitor.change(start + seconds(0.4)), None, "it was reported");
-        // An outage says nothing of what an earlier process was told.
+        // The service may have sent changes to an earlier process before the outage.
         monitor.record_outage(start + seconds(0.5));
         assert_eq!(monitor.change(start + seconds(0.6)), None);
         monitor.record_current(start + seconds(1.0));
@@ -103,12 +104,12 @@
         monitor.record_current(start + seconds(7.0));
         assert_eq!(monitor.change(start + seconds(7.0)), Some(ListAge::Fresh));
     }
-    // It counts anew while the service is down.
+    // An outage postpones the bound.
     let mut monitor = ListAgeMonitor::new(ListAgeBounds::new(&settings()), start, origin);
     monitor.record_outage(start + seconds(5.0));
     assert_eq!(monitor.change(start + seconds(11.2)), None);
     assert_eq!(monitor.change(start + seconds(11.5)), Some(ListAge::Stale));
-    // What an agent has counts as told at once.
+    // A change that an agent has counts as sent at once.
     let mut monitor = ListAgeMonitor::new(ListAgeBounds::new(&pushed()), start, origin);
     assert_eq!(monitor.change(start), Some(ListAge::Stale));
 }
@@ -181,7 +182,7 @@
         monitor.record_address_change(start + seconds(4.5));
         assert_eq!(monitor.change(start + seconds(5.2)), None);
         assert_eq!(monitor.change(start + seconds(5.5)), Some(ListAge::Stale));
-        // A list that was current at the end of the first time confirms the list until the end of the second one.
+        // A list that was current when the first period ended confirms the list until the second period ends.
         monitor.record_current(start + seconds(5.1));
         assert_eq!(monitor.change(start + seconds(5.6)), Some(ListAge::Fresh));
         assert_eq!(monitor.next_confirmation(start + seconds(5.6)), Some(start + seconds(8.5)));
@@ -189,7 +190,8 @@
     }
 }
 
-/// The list of a sender that got a whole list at `start`, in each way to follow it.
+/// The monitors of senders that received a complete list at `start`: in a small fleet, with a local agent and
+/// in a large fleet.
 fn monitors(start: Instant) -> Vec<ListAgeMonitor> {
     let polled = Settings { sender_count: 300, ..settings() };
     let monitor = |settings: &Settings| {
@@ -209,7 +211,8 @@
         assert_eq!(monitor.change(start + seconds(1.2)), None);
         assert!(monitor.next_change().is_some_and(|at| at <= start + seconds(1.31)));
         assert_eq!(monitor.change(start + seconds(1.31)), Some(ListAge::Stale));
-        // An outage does not undo what the response told; a list from a call that began before it may lack that.
+        // An outage does not clear the response, and a list that was current before its arrival may lack its
+        // changes.
         monitor.record_outage(start + seconds(1.5));
         monitor.record_current(start + seconds(0.9));
         assert_eq!(monitor.change(start + seconds(1.6)), None);
@@ -238,7 +241,7 @@
         monitor.record_lost_response(start + seconds(1.2));
         assert_eq!(monitor.change(start + seconds(1.2)), None);
         assert_eq!(monitor.change(start + seconds(1.31)), Some(ListAge::Stale));
-        // A list from a call that began before may lack what was lost.
+        // A list that was current before may lack the changes in the lost response.
         monitor.record_current(start + seconds(0.9));
         assert_eq!(monitor.change(start + seconds(1.4)), None);
         monitor.record_current(start + seconds(1.5));
