--- a/src/forwarder/discovery/follower.rs
+++ b/src/forwarder/discovery/follower.rs
@@ -1,7 +1,15 @@
-//! Follows the endpoint list: makes the calls, and passes on what they return.
+//! The loop that follows the endpoint list: it calls the discovery service and sends each list to the
+//! runtime.
 //!
-//! A call that gets no response in time is not given up, because a slow service would never be heard. Another call is
-//! made beside it, and the first response counts.
+//! After a list, the next call is a watch, to which the service responds when the list changes. After a
+//! failure, the next call follows a backoff. A call without a response in time is overdue: it stays open,
+//! because a slow service may still respond to it, and another call, a hedge, is made beside it. The first
+//! response counts.
+//!
+//! The loop also reports to the runtime when the list becomes stale or fresh, by the freshness bound of
+//! [`list_age`].
+//!
+//! [`list_age`]: super::list_age
 
 use super::InitialList;
 use super::list_age::ListAgeBounds;
@@ -20,9 +28,9 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep_until};
 
-/// What the follower has to do next.
+/// An event that the follower handles.
 enum Step {
-    /// Operators configured another address.
+    /// Operators have configured another address.
     ChangeAddress,
     /// Bytes of the response to a call have arrived.
     ResponseProgress(ListCall),
@@ -30,18 +38,18 @@
     Complete(FinishedCall),
     /// The timer has fired.
     Timer,
-    /// The list may have become too old.
+    /// The list may have become stale or fresh.
     CheckAge,
 }
 
-/// What is done when the next call is due.
+/// What happens when the timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TimerAction {
-    /// The call that follows a list or a failure.
+    /// The call that follows a list or a failure starts.
     Call,
-    /// None yet: the newest call becomes overdue.
+    /// The newest call becomes overdue.
     MarkOverdue,
-    /// A call beside the overdue one.
+    /// A call beside the overdue one starts.
     Hedge,
 }
 
@@ -56,20 +64,20 @@
     }
 }
 
-/// A list that was passed on.
+/// A list that was sent to the runtime.
 #[derive(Clone, Copy)]
 struct AppliedList {
     /// The newest call that has returned a list.
     call: u64,
     revision: u64,
     at: Instant,
-    /// It was the response to a watch, which goes on.
+    /// Whether the list was the response to a watch.
     is_watch_response: bool,
 }
 
 /// The state of the loop that follows the list.
 pub(super) struct ListFollower {
-    /// The start-up code of the forwarder holds the sender, and publishes an address when operators change it.
+    /// The address of the service. The task that reloads the configuration publishes a new one.
     address: Receiver<SocketAddr>,
     /// The bounded event queue of the runtime.
     events: Sender<RuntimeEvent>,
@@ -78,22 +86,22 @@
     calls: OpenCalls,
     timer_at: Instant,
     timer_action: TimerAction,
-    /// What the next regular call follows.
+    /// The context of the next call that is not a hedge.
     next_context: CallContext,
-    /// Changes since this revision suffice; `None` if the complete list has to be requested.
+    /// The revision since which changes are requested; `None` if the complete list has to be requested.
     known_revision: Option<u64>,
     /// The list in use, if a call has returned it.
     applied: Option<AppliedList>,
-    /// The first of the rejections since the last list.
+    /// When the first call failed since the last list.
     failing_since: Option<Instant>,
     outages: OutageDetector,
-    /// When the last connection broke that counted as one of its own, if no call has failed otherwise since.
+    /// When the last broken connection was counted; `None` if a call has failed in another way since.
     broken_at: Option<Instant>,
     age: ListAgeMonitor,
 }
 
 impl ListFollower {
-    /// A follower that has made no call yet. `initial_list` is the list that the runtime has.
+    /// Creates a follower that has made no call yet. `initial_list` is the list that the runtime has.
     pub(super) fn new(
         address: Receiver<SocketAddr>,
         events: Sender<RuntimeEvent>,
@@ -122,7 +130,7 @@
 
     /// Follows the list until the runtime stops receiving events.
     pub(super) async fn run(mut self) {
-        // The first call goes to the address that is current now.
+        // The address that was published until now is no change: the first call uses it.
         self.address.mark_unchanged();
         eprintln!("discovery: {}", self.bounds);
         while self.take_step().await.is_ok() {}
@@ -149,12 +157,14 @@
                 CallEvent::Finished(finished) => Step::Complete(finished),
             },
             () = sleep_until(self.timer_at) => Step::Timer,
-            () = sleep_until(age_changes_at.unwrap_or(self.timer_at)), if age_changes_at.is_some() => Step::CheckAge,
+            () = sleep_until(age_changes_at.unwrap_or(self.timer_at)),
+                if age_changes_at.is_some() => Step::CheckAge,
         }
     }
 
-    /// Calls a new address at once: the list from the old one may be outdated. The complete list is requested, unless so
-    /// many senders share the service that those of all of them would take it too long.
+    /// Calls a new address at once, because the list from the old address may be outdated. Requests the
+    /// complete list, except in a large fleet, where complete lists for all senders would take the service
+    /// too long.
     fn change_address(&mut self) {
         let now = Instant::now();
         self.calls.change_address();
@@ -206,8 +216,8 @@
         self.set_timer(TimerAction::MarkOverdue, call.started_at + hedge_after);
     }
 
-    /// What the next call asks for. If the list has to be confirmed at a later time, a watch ends then: its response
-    /// shows that the list was current at that time.
+    /// What the next call asks for. If the list has to be confirmed at a later time, the wait of a watch ends
+    /// then, so that the response confirms the list.
     fn query(&self, context: CallContext) -> ListQuery {
         let query = self.schedule.query(self.known_revision, context, self.age.is_confirmed());
         let now = Instant::now();
@@ -217,8 +227,9 @@
         }
     }
 
-    /// What the response tells must be known soon after its last byte: if no more arrives for a while and it has not
-    /// ended, another call is made beside it.
+    /// Handles the arrival of bytes of a response. The service counts the changes in it as sent, whether or
+    /// not the rest arrives. A hedge follows if no more bytes arrive for a while and the response has not
+    /// ended.
     fn handle_response_progress(&mut self, call: ListCall) {
         let now = Instant::now();
         self.age.record_response_progress(call.number, now);
@@ -243,11 +254,11 @@
         }
     }
 
-    /// Passes a list on, unless a newer one was passed on before.
+    /// Sends a list to the runtime, unless a newer one was sent before.
     async fn handle_list(&mut self, call: ListCall, list: EndpointList) -> Result<(), RuntimeEnded> {
         self.age.record_response_end(call.number);
         if self.is_outdated(call, &list) {
-            eprintln!("discovery: call {}: revision {} is outdated", call.number, list.revision);
+            eprintln!("discovery: call {}: revision {} is outdated; ignored", call.number, list.revision);
             self.next_context = CallContext::AfterFailure;
             if self.calls.open().len() == 0 {
                 self.set_timer(TimerAction::Call, Instant::now());
@@ -261,8 +272,9 @@
         Ok(self.events.send(RuntimeEvent::EndpointList(list)).await?)
     }
 
-    /// Whether a list was passed on that this one has nothing to add to: one from a newer call, or a newer one that
-    /// arrived while this call was open. A service that has started again at a lower revision answers later calls.
+    /// Whether this list adds nothing to one that was applied before: one from a newer call, unless this list
+    /// has a higher revision, or one of a higher revision that arrived while this call was open. A lower
+    /// revision in the response to a call that started later is that of a service that has restarted.
     fn is_outdated(&self, call: ListCall, list: &EndpointList) -> bool {
         let Some(applied) = self.applied else { return false };
         let is_late = call.number < applied.call;
@@ -289,8 +301,9 @@
         }
     }
 
-    /// What the call after this list follows. The service counts the changes between the response to a watch and the next call
-    /// as told; they are known in time if it takes up that call in time.
+    /// The context of the call after this list. The service counts a change between the response to a watch
+    /// and the next call as sent. The list includes such a change in time only if the service accepts the
+    /// next call in time, which is assumed if the response was prompt.
     fn context_after(&self, call: ListCall, list: &EndpointList, now: Instant) -> CallContext {
         if !self.bounds.is_shared() || !call.query.is_watch() {
             return CallContext::AfterList;
@@ -301,8 +314,9 @@
         }
     }
 
-    /// A list arrived beside an open watch, which goes on unless it is older than the call for that list and either
-    /// overdue or so long that the list would expire meanwhile.
+    /// Handles a list that arrived while a watch is open. Another call starts at once only if the watch was
+    /// started before the call that returned the list, and is either overdue or so long that the list would
+    /// become stale meanwhile.
     fn continue_watch(&mut self, watch: ListCall, call: ListCall, now: Instant) {
         let overdue_at = watch.started_at + self.schedule.overdue_after(watch.query);
         let is_short = !self.bounds.has_long_watches();
@@ -338,7 +352,8 @@
             let list_age = self.age.since_current(now).as_millis();
             let number = call.number;
             eprintln!(
-                "discovery: call {number}: {error} after {elapsed} ms; list {list_age} ms old; next call in {next_in} ms"
+                "discovery: call {number}: {error} after {elapsed} ms; list {list_age} ms old; \
+                next call in {next_in} ms"
             );
             // The time that a connection attempt took is a part of the delay.
             let since = if failure == FailureKind::Unreachable { call.started_at } else { now };
@@ -346,8 +361,9 @@
         }
     }
 
-    /// Decides what the failed call tells of the service. If its connection broke, a response may have been lost with it,
-    /// unless a newer call was answered since. Returns whether the service is down.
+    /// Updates the state of the service after a failed call, and returns whether the service is down. If the
+    /// connection of the call broke, its response may have been lost, unless a newer call has returned a
+    /// list.
     fn record_service_state(&mut self, call: ListCall, kind: FailureKind, now: Instant) -> bool {
         let elapsed = now - call.started_at;
         let was_healthy_watch = self.was_healthy_watch(call, elapsed);
@@ -373,16 +389,18 @@
         is_down
     }
 
-    /// Whether the connection of this call broke together with that of an earlier one, beside which it was open. One restart of
-    /// the service breaks all of them. A call that starts later counts again, also where each call breaks the one before.
+    /// Whether the connection of this call broke together with the last one that was counted, because the
+    /// call was open at that time. One restart of the service breaks all open connections and counts once. A
+    /// call that started later counts again, also if each call breaks the connection of the one before.
     fn broke_with_earlier_call(&self, call: ListCall, kind: FailureKind) -> bool {
         let connections_break = matches!(self.outages.state(), ServiceState::Breaking { .. });
         let was_open = self.broken_at.is_some_and(|broken_at| call.started_at <= broken_at);
         kind == FailureKind::Broken && connections_break && was_open
     }
 
-    /// The service has rejected a call that should have continued a watch. It may have told the watch of changes until then.
-    /// One that a sender has for itself is not crowded, but down, and has nothing to tell.
+    /// Records that the service may not have accepted the call that continues a watch: it counts changes
+    /// since the response to the watch as sent. A local agent is never overloaded: if it rejects a call, it
+    /// is down and has sent nothing.
     fn record_watch_gap(&mut self) {
         let is_watch_response = |applied: &AppliedList| applied.is_watch_response && self.bounds.is_shared();
         if let Some(applied) = self.applied.filter(is_watch_response) {
@@ -390,15 +408,16 @@
         }
     }
 
-    /// Whether this call was a watch that followed a list, was not overdue, and had no other call beside it.
+    /// Whether this call was a watch right after a list, was within its wait, and had no other call beside
+    /// it.
     fn was_healthy_watch(&self, call: ListCall, elapsed: Duration) -> bool {
         let is_only_call = self.calls.open().len() == 0;
         let follows_list = self.applied.is_some_and(|applied| applied.call + 1 == call.number);
         call.query.is_watch() && is_only_call && follows_list && elapsed < call.query.wait()
     }
 
-    /// Decides whether the complete list has to be requested. The service lost no change if it rejected the call because
-    /// it is overloaded; it may be restarting if it does so for a while.
+    /// Requests the complete list next if changes may have been lost. An overloaded service that rejects a
+    /// call loses no change, but one that rejects calls for a while may be restarting.
     fn record_lost_changes(&mut self, failure: FailureKind, is_down: bool, now: Instant) {
         let failing_since = *self.failing_since.get_or_insert(now);
         let may_restart = is_down || now - failing_since >= self.bounds.min_restart_duration();
@@ -407,7 +426,7 @@
         }
     }
 
-    /// Tells the runtime when the list becomes too old, and when it is fresh again.
+    /// Informs the runtime when the list becomes stale or fresh.
     async fn report_age(&mut self) -> Result<(), RuntimeEnded> {
         let Some(age) = self.age.change(Instant::now()) else { return Ok(()) };
         match age {
--- a/src/forwarder/discovery/follower/tests.rs
+++ b/src/forwarder/discovery/follower/tests.rs
@@ -32,10 +32,10 @@
     let call = |query| ListCall { number: 0, query, started_at };
     let now = started_at + Duration::from_secs(5);
     assert_eq!(current_at(call(watch(4)), &changes(4), now), started_at + WAIT);
-    // It responded early.
+    // The response arrived before the end of the wait.
     let early = started_at + Duration::from_secs(1);
     assert_eq!(current_at(call(watch(4)), &changes(4), early), started_at);
-    // When the service wrote the response is not known.
+    // The time at which the service wrote the response is not known.
     let complete = EndpointList { complete: true, ..changes(5) };
     assert_eq!(current_at(call(ListQuery::Complete), &complete, now), started_at);
     let drained = EndpointList { unreadable: 1, ..changes(5) };
--- a/src/forwarder/discovery/mod.rs
+++ b/src/forwarder/discovery/mod.rs
@@ -1,9 +1,12 @@
 //! Follows the endpoint list of the discovery service and sends each version of it to the runtime.
 //!
-//! A sender watches the list: each call waits at the service until the list changes. How old the list may become, and
-//! all intervals that follow from it, are computed by [`list_age::ListAgeBounds`]. No call to an endpoint starts while
-//! the list is too old ([`list_age_monitor`]); whether a failed call means that the service is down is decided by
-//! [`outage_detector`].
+//! - [`follower`] is the loop that makes the calls. Each call is usually a watch: it waits at the service
+//!   until the list changes.
+//! - [`list_age`] defines the freshness bound, that is how old the list in use may be, and computes the
+//!   intervals of calls from it.
+//! - [`list_age_monitor`] decides by this bound whether the list is stale. No call to an endpoint starts
+//!   while it is.
+//! - [`outage_detector`] decides whether a failed call means that the service is down.
 
 mod follower;
 mod list_age;
@@ -31,16 +34,16 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct InitialList {
     bounds: ListAgeBounds,
-    /// Changes since this revision suffice; `None` if the complete list has to be requested.
+    /// The revision since which changes are requested; `None` if the complete list has to be requested.
     revision: Option<u64>,
-    /// When the process took over from an earlier one.
+    /// When the process became the owner of the state folder.
     start: Instant,
     origin: ListOrigin,
 }
 
 impl InitialList {
-    /// The list of a process with these settings, which took over from an earlier one at `start`. `revision` is that of
-    /// the list, if changes since it suffice.
+    /// The list of a process with these settings that became the owner of the state folder at `start`.
+    /// `revision` is that of the list, or `None` if the complete list has to be requested.
     pub(crate) fn new(
         settings: &Settings,
         revision: Option<u64>,
@@ -50,7 +53,7 @@
         InitialList { bounds: ListAgeBounds::new(settings), revision, start, origin }
     }
 
-    /// Whether the list may be acted on at this time, before the service has responded.
+    /// Whether the list may be used at this time, before the service has responded.
     pub(crate) fn age_at(self, now: Instant) -> ListAge {
         self.monitor().change(now).unwrap_or(ListAge::Fresh)
     }
@@ -62,9 +65,10 @@
 
 /// Follows the endpoint list until the runtime stops receiving events.
 ///
-/// `initial_list` is the list that the runtime already has. `address` changes when operators reload a configuration with
-/// another address. `seed` determines the jitter of delays. All lists are sent to `events` in the order in which they
-/// arrived; the runtime holds the other end of this bounded channel, and a full channel delays the next call.
+/// `initial_list` is the list that the runtime already has. `address` changes when operators reload a
+/// configuration with another address. `seed` determines the jitter of delays. All lists are sent to `events`
+/// in the order in which they arrived; the runtime holds the other end of this bounded channel, and a full
+/// channel delays the next call.
 pub(crate) async fn follow(
     address: Receiver<SocketAddr>,
     events: Sender<RuntimeEvent>,
