--- a/src/forwarder/discovery/outage_detector.rs
+++ b/src/forwarder/discovery/outage_detector.rs
@@ -1,27 +1,28 @@
-//! Tells outages of the discovery service from calls that fail for other reasons.
+//! Distinguishes outages of the discovery service from calls that fail for other reasons.
 //!
-//! What a service that is down could not tell need not be known. A call that fails is no proof of that: its response may
-//! have been written and lost, and a service that other callers crowd rejects calls although it can be reached. A watch that
-//! was open for a while is not rejected by a crowd. If it ends with an error status, the service has gone down, and stays so
-//! for as long as all calls fail in the same way.
+//! A service that is down cannot send changes, so the list does not age during an outage. A failed call alone
+//! does not prove an outage: its response may have been written and lost, and a service that is overloaded
+//! with the calls of others rejects calls although it can be reached. But overload does not end a watch that
+//! has been open for a while. If such a watch ends with an error status, the service has gone down, and is
+//! down for as long as all calls fail in the same way.
 
 use super::request::PollError;
 use crate::forwarder::discovery_client::CallError;
 use std::time::Duration;
 
-/// Connections that break one after the other until the service is taken to be down. A response can be lost with one,
-/// but hardly several in a row.
+/// The number of consecutive broken connections after which the service is considered down. A response can be
+/// lost with one connection, but hardly with several in a row.
 const MIN_BROKEN_CONNECTIONS: u32 = 3;
 
-/// A call that is rejected later than this had waited at the service.
+/// A call that is rejected later than this after its start has waited at the service.
 const MAX_IMMEDIATE_REJECTION: Duration = Duration::from_millis(500);
-/// A watch that was open for longer had been taken up by the service.
+/// A watch that was open for longer than this is established: the service has accepted it.
 const MIN_ESTABLISHED_WATCH: Duration = Duration::from_millis(1500);
 
-/// How a call failed, as far as it tells something about the service.
+/// How a call failed, as far as it indicates the state of the service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FailureKind {
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
     /// The connection broke before a response arrived.
     Broken,
@@ -34,8 +35,8 @@
 }
 
 impl FailureKind {
-    /// The kind of a call that failed this long after its start. `has_started` tells whether bytes of a response had
-    /// arrived.
+    /// The kind of the failure of a call this long after its start. `has_started` is true if bytes of a
+    /// response had arrived.
     pub(super) fn of(error: &PollError, elapsed: Duration, has_started: bool) -> Self {
         match error {
             PollError::Call(CallError::Connect(_)) => FailureKind::Unreachable,
@@ -58,66 +59,67 @@
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FailedCall {
     pub(super) kind: FailureKind,
-    /// It was a watch, the only open call, and not overdue.
+    /// Whether the call was a watch, the only open call, and within its wait.
     pub(super) was_healthy_watch: bool,
     pub(super) elapsed: Duration,
 }
 
 impl FailedCall {
-    /// Whether a watch was rejected so soon that the service may not have taken it up.
+    /// Whether the call was a watch that was rejected so soon that the service may not have accepted it.
     pub(super) fn ended_unestablished_watch(&self) -> bool {
         self.was_healthy_watch && self.kind.is_rejection() && self.elapsed <= MIN_ESTABLISHED_WATCH
     }
 
-    /// Whether a watch was rejected that the service had taken up.
+    /// Whether the call was a watch that was rejected after the service had accepted it.
     fn ended_established_watch(&self) -> bool {
         self.was_healthy_watch && self.kind.is_rejection() && self.elapsed > MIN_ESTABLISHED_WATCH
     }
 }
 
-/// What the failed calls since the last list tell about the service.
+/// The state of the service, according to the failed calls since the last list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ServiceState {
-    /// It can be reached, as far as is known.
+    /// The service can be reached, as far as is known.
     Reachable,
-    /// So many connections in a row broke. Each may have carried a response.
+    /// This number of consecutive connections broke. Each may have carried a response.
     Breaking { connections: u32 },
-    /// It is down, and calls fail in this way; `None` if none was made since it went down.
+    /// The service is down, and calls fail in this way; `None` if no call was made since it went down.
     Down { failure: Option<FailureKind> },
 }
 
-/// Follows the state of the service.
+/// Determines the state of the service from the results of calls.
 pub(super) struct OutageDetector {
     state: ServiceState,
     is_check_due: bool,
 }
 
 impl OutageDetector {
-    /// A service that has not been called yet.
+    /// Creates a detector for a service that has not been called yet.
     pub(super) fn new() -> Self {
         OutageDetector { state: ServiceState::Reachable, is_check_due: false }
     }
 
-    /// A call returned a list.
+    /// Records that a call returned a list.
     pub(super) fn record_list(&mut self) {
         self.state = ServiceState::Reachable;
         self.is_check_due = false;
     }
 
-    /// What the failed calls since the last list tell.
+    /// The state according to the failed calls since the last list.
     pub(super) fn state(&self) -> ServiceState {
         self.state
     }
 
     /// Whether the last call has to be checked by another one at once.
     ///
-    /// While connections break, the first response of a service that has returned may be lost with its connection, which
-    /// looks like one more break. A response is hardly lost with the checked call and with the next one.
+    /// While the service is down and each connection breaks, the first response after its return may be lost
+    /// with one more connection, which looks like the outage. It is unlikely that the response to the next
+    /// call is lost as well.
     pub(super) fn is_check_due(&self) -> bool {
         self.is_check_due
     }
 
-    /// A call failed. Returns what that tells.
+    /// Records a failed call, and returns the state after it.
     pub(super) fn record_failure(&mut self, call: FailedCall) -> ServiceState {
         let failure = Some(call.kind);
         let breaks_again = self.state == ServiceState::Down { failure: Some(FailureKind::Broken) }
@@ -131,7 +133,7 @@
             }
             (ServiceState::Down { failure: previous }, _) if previous == failure => self.state,
             (ServiceState::Breaking { connections }, FailureKind::Broken) => after_broken(connections + 1),
-            // A service that was down in another way accepts connections again, and may have responded.
+            // The service was down in another way and accepts connections again, so it may have responded.
             (_, FailureKind::Broken) => ServiceState::Breaking { connections: 1 },
             (_, FailureKind::RejectedAtOnce | FailureKind::RejectedLate | FailureKind::Other) => {
                 ServiceState::Reachable
--- a/src/forwarder/discovery/outage_detector/tests.rs
+++ b/src/forwarder/discovery/outage_detector/tests.rs
@@ -52,7 +52,7 @@
         (&[watch(RejectedLate, 1700)], down(None)),
         (&[watch(RejectedLate, 1700), call(RejectedAtOnce)], down(Some(RejectedAtOnce))),
         (&[watch(RejectedLate, 1700), call(RejectedLate), call(RejectedLate)], down(Some(RejectedLate))),
-        // It works again, and is crowded.
+        // The service can be reached again, and is overloaded.
         (&[watch(RejectedLate, 1700), call(RejectedLate), call(RejectedAtOnce)], ServiceState::Reachable),
         (&[watch(Broken, 1700)], ServiceState::Breaking { connections: 1 }),
     ];
