--- a/src/forwarder/discovery/list_response.rs
+++ b/src/forwarder/discovery/list_response.rs
@@ -1,4 +1,4 @@
-//! What a response with a list tells, beside the list itself.
+//! Properties of a response with a list: its revision, how late it arrived, and when its list was current.
 
 use super::open_calls::ListCall;
 use super::request::ListQuery;
@@ -17,14 +17,15 @@
     }
 }
 
-/// The revision since which changes suffice; `None` if the complete list is needed.
+/// The revision since which the next call requests changes; `None` if it has to request the complete list.
 pub(super) fn next_revision(query: ListQuery, list: &EndpointList) -> Option<u64> {
     if list.complete {
-        // One with an unreadable record is used as it is, since another request would return the same.
+        // A complete list with an unreadable record is used as it is: another request would return the same
+        // list.
         return Some(list.revision);
     }
     let is_restarted = match query {
-        // The service counts from a lower revision again: its changes do not build on the list in use.
+        // The service has restarted at a lower revision: its changes are not relative to the list in use.
         ListQuery::Changes { since_revision, .. } => list.revision < since_revision,
         ListQuery::Complete => false,
     };
@@ -32,12 +33,13 @@
     (!is_restarted && list.unreadable == 0).then_some(list.revision)
 }
 
-/// Whether the service has told that nothing changed.
+/// Whether the service has responded that nothing changed.
 fn has_no_changes(list: &EndpointList) -> bool {
     !list.complete && list.endpoints.is_empty() && list.unreadable == 0
 }
 
-/// How long after the service could have sent it the list arrived, as far as that is known.
+/// The time from the moment at which the service could have sent the list to its arrival; zero if it is not
+/// known.
 pub(super) fn response_time(call: ListCall, list: &EndpointList, now: Instant) -> Duration {
     let elapsed = now - call.started_at;
     match call.query {
@@ -48,17 +50,17 @@
     }
 }
 
-/// How long after the service could have sent it the list arrived at the most.
+/// The upper bound of the time from the moment at which the service could have sent the list to its arrival.
 pub(super) fn longest_response_time(call: ListCall, list: &EndpointList, now: Instant) -> Duration {
     let elapsed = now - call.started_at;
     if has_no_changes(list) { elapsed.saturating_sub(call.query.wait()) } else { elapsed }
 }
 
-/// A moment at which the list was current for sure.
+/// The latest moment at which the list is known to have been current.
 pub(super) fn current_at(call: ListCall, list: &EndpointList, now: Instant) -> Instant {
     let waited_until = call.started_at + call.query.wait();
     match has_no_changes(list) && waited_until <= now {
-        // The service waited for all of the time that it was asked to.
+        // The service responded only after the complete wait.
         true => waited_until,
         false => call.started_at,
     }
--- a/src/forwarder/discovery/open_calls.rs
+++ b/src/forwarder/discovery/open_calls.rs
@@ -34,20 +34,20 @@
     client: DiscoveryClient,
 }
 
-/// Something that happened to a call.
+/// Progress or the end of a call.
 pub(super) enum CallEvent {
-    /// Bytes of its response have arrived.
+    /// Bytes of the response have arrived.
     ResponseProgress(ListCall),
-    /// It has ended.
+    /// The call has ended.
     Finished(FinishedCall),
 }
 
-/// Calls that may be open at once: the watch, and those made beside it while it is overdue.
+/// The most calls that may be open at once: an overdue call and its hedges.
 const MAX_OPEN_CALLS: usize = 6;
-/// Of the calls that are made beside an overdue one, those are kept open that are this far apart.
+/// The least interval between the starts of calls that are kept open beside each other.
 const KEPT_CALL_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Upper bound of the arrivals that have not been handled yet. If there are more, the response counts as having stopped
+/// The most progress reports that wait to be handled. If there are more, a response counts as having stopped
 /// a little earlier than it did.
 const PROGRESS_CAPACITY: usize = 64;
 
@@ -60,11 +60,11 @@
 /// Owns the open calls, each of which has a connection of its own. They are aborted when this is dropped.
 pub(super) struct OpenCalls {
     tasks: JoinSet<FinishedCall>,
-    /// Calls of whose responses bytes have arrived. Each task holds a sender.
+    /// The progress reports of the tasks, each of which holds a sender.
     progress: Receiver<ListCall>,
     progress_sender: Sender<ListCall>,
     next_number: u64,
-    /// The first call to the present address has this number.
+    /// The number of the first call to the present address.
     first_number: u64,
     /// Open calls to the present address, in the order of their start.
     open: Vec<OpenCall>,
@@ -73,7 +73,7 @@
 }
 
 impl OpenCalls {
-    /// No calls.
+    /// Creates a collection without calls.
     pub(super) fn new() -> Self {
         let (progress_sender, progress) = channel(PROGRESS_CAPACITY);
         OpenCalls {
@@ -101,7 +101,7 @@
         let progress = self.progress_sender.clone();
         let task = self.tasks.spawn(async move {
             let report_progress = || {
-                // If the channel is full, an earlier arrival of this response is in it.
+                // If the channel is full, an earlier report of this response is in it.
                 let _ = progress.try_send(call);
             };
             let result = request_list(&mut client, address, query, limits.response, report_progress).await;
@@ -111,8 +111,8 @@
         call
     }
 
-    /// Gives up a call if another one could not be kept beside those that are open. Those that are kept are spread over time, so
-    /// that a slow service has a good while to respond to each.
+    /// Abandons a call if another one could not be kept open beside those that are open. The starts of the
+    /// kept calls are spread over time, so that a slow service has time to respond to each.
     pub(super) fn make_room(&mut self) {
         let mut newest_first = self.open.iter().rev().map(|open| open.call.started_at);
         let newest_interval =
@@ -124,19 +124,19 @@
         }
     }
 
-    /// Gives up the open call at this index.
+    /// Abandons the open call at this index.
     fn abort(&mut self, index: usize) {
         self.open.remove(index).task.abort();
     }
 
-    /// Waits until something happens to a call. Arrivals are returned before the end of their call.
+    /// Waits for the next event of a call. Progress is returned before the end of the call.
     pub(super) async fn next_event(&mut self) -> CallEvent {
         loop {
             tokio::select! {
                 biased;
                 Some(call) = self.progress.recv() => return CallEvent::ResponseProgress(call),
                 Some(joined) = self.tasks.join_next() => {
-                    // A call that was given up has no result.
+                    // An abandoned call has no result.
                     if let Ok(finished) = joined {
                         return CallEvent::Finished(finished);
                     }
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Takes a finished call off the list, and keeps its connection if that can carry another call.
+    /// Removes a finished call, and keeps its connection if that can carry another call.
     pub(super) fn complete(&mut self, finished: FinishedCall) -> (ListCall, Result<EndpointList, PollError>) {
         let FinishedCall { call, result, client } = finished;
         self.open.retain(|open| open.call.number != call.number);
@@ -155,14 +155,14 @@
         (call, result)
     }
 
-    /// The next calls go to another address. What the open ones receive is still reported.
+    /// Prepares for calls to another address. The open calls continue, and their events are still returned.
     pub(super) fn change_address(&mut self) {
         self.first_number = self.next_number;
         self.open.clear();
         self.idle_client = None;
     }
 
-    /// Whether the call was made to the address that is in use now.
+    /// Whether the call was made to the present address.
     pub(super) fn is_to_present_address(&self, call: ListCall) -> bool {
         call.number >= self.first_number
     }
