--- a/src/forwarder/discovery/request.rs
+++ b/src/forwarder/discovery/request.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The longest body of a response that is read.
+/// The longest response body that is read.
 const MAX_LIST_BYTES: usize = 8 << 20;
 
 const NANOSECONDS_PER_MILLISECOND: u128 = 1_000_000;
@@ -50,7 +50,7 @@
         !self.wait().is_zero()
     }
 
-    /// The same query with a wait of at most `longest`, in whole milliseconds that are not shorter.
+    /// The same query with a wait of at most `longest`, rounded up to whole milliseconds.
     pub(super) fn with_longest_wait(self, longest: Duration) -> Self {
         let longest = Duration::from_millis(longest.as_nanos().div_ceil(NANOSECONDS_PER_MILLISECOND) as u64);
         match self {
@@ -73,8 +73,8 @@
     }
 }
 
-/// Requests the list. The response has to be complete within `time_limit`, which includes the time to connect.
-/// `on_progress` is called whenever bytes of it have arrived.
+/// Requests the list. The response has to be complete within `time_limit`, which includes the time to
+/// connect. `on_progress` is called whenever bytes of the response have arrived.
 ///
 /// # Errors
 ///
--- a/src/forwarder/discovery/schedule.rs
+++ b/src/forwarder/discovery/schedule.rs
@@ -1,4 +1,4 @@
-//! When the next call to the discovery service is made, and what it asks for.
+//! Determines when the next call to the discovery service is made, and what it asks for.
 
 use super::list_age::ListAgeBounds;
 use super::open_calls::CallLimits;
@@ -8,18 +8,19 @@
 use crate::forwarder::discovery_client::Backoff;
 use std::time::Duration;
 
-/// What a call follows.
+/// The context of a call, on which its query and its timing depend.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum CallContext {
-    /// Nothing: it is the first one, whose response confirms the list in use.
+    /// The first call, whose response confirms the list in use.
     First,
-    /// A response with a list, right away.
+    /// A call right after a response with a list.
     AfterList,
-    /// The same, and that the service takes up the next call in time is not known.
+    /// A call right after a response to a watch that may have arrived so late that the service may not accept
+    /// this call in time.
     AfterPossiblyLateList,
-    /// A call that failed.
+    /// A call after one that failed.
     AfterFailure,
-    /// A call that is overdue and still open. A change may have been lost with its response.
+    /// A call beside one that is overdue and still open, with whose response a change may have been lost.
     Hedge,
 }
 
@@ -27,14 +28,15 @@
 pub(super) struct CallSchedule {
     bounds: ListAgeBounds,
     load: ServiceLoad,
-    /// The time limit of establishing a connection. It doubles with each connection that is not established.
+    /// The time limit of establishing a connection. It doubles after each connection that is not established,
+    /// up to a maximum.
     connect_timeout: Duration,
     backoffs: Backoffs,
 }
 
 /// The delays between failed calls and the next ones.
 struct Backoffs {
-    /// After rejections: the service has too many calls.
+    /// After rejections: the service is overloaded.
     rejected: Backoff,
     /// While the service is down.
     outage: Backoff,
@@ -61,7 +63,7 @@
 }
 
 impl CallSchedule {
-    /// The schedule that these bounds ask for. `seed` determines the jitter.
+    /// Creates the schedule for these bounds. `seed` determines the jitter.
     pub(super) fn new(bounds: ListAgeBounds, seed: u64) -> Self {
         CallSchedule {
             bounds,
@@ -71,8 +73,8 @@
         }
     }
 
-    /// What the next call asks for. `known_revision` is the revision of the list in use, if changes to it suffice;
-    /// `is_confirmed` tells whether the service has confirmed that list.
+    /// What the next call asks for. `known_revision` is the revision since which changes are requested;
+    /// `is_confirmed` is true if the service has confirmed the list in use.
     pub(super) fn query(
         &self,
         known_revision: Option<u64>,
@@ -87,18 +89,18 @@
             CallContext::AfterFailure if self.bounds.has_long_watches() || is_confirmed => {
                 self.bounds.first_watch_duration(&self.load)
             }
-            // A response at once, which is short if nothing has changed.
+            // The service responds at once, and briefly if nothing has changed.
             CallContext::First | CallContext::AfterFailure => Duration::ZERO,
         };
         ListQuery::Changes { since_revision, wait }
     }
 
-    /// The time after which a call is overdue that is not made beside another one.
+    /// The time after which a call that is not a hedge is overdue.
     pub(super) fn overdue_after(&self, query: ListQuery) -> Duration {
         self.bounds.overdue_after(query.wait(), &self.load)
     }
 
-    /// The time after which the next call is made beside those that are open.
+    /// The time after which a hedge is made beside this call.
     pub(super) fn hedge_after(&self, query: ListQuery, context: CallContext) -> Duration {
         match context {
             CallContext::Hedge => self.bounds.hedge_interval(),
@@ -114,14 +116,15 @@
         CallLimits { connect: self.connect_timeout, response: self.bounds.response_timeout(query.wait()) }
     }
 
-    /// A list arrived this long after the service could have sent it.
+    /// Records a list that arrived this long after the service could have sent it.
     pub(super) fn record_list(&mut self, response_time: Duration) {
         self.load.record_list(response_time);
         self.connect_timeout = self.bounds.initial_connect_timeout();
         self.backoffs.reset();
     }
 
-    /// The delay between a failed call and the next one. `is_down` tells whether the service is known to be down.
+    /// The delay between a failed call and the next one. `is_down` is true if the service is known to be
+    /// down.
     pub(super) fn delay_after_failure(&mut self, failure: FailureKind, is_down: bool) -> Duration {
         self.load.record_failure();
         if failure == FailureKind::Unreachable {
@@ -134,13 +137,14 @@
         }
     }
 
-    /// The delay until the call that checks one whose connection broke.
+    /// The delay before the call that checks a broken connection, see
+    /// [`super::outage_detector::OutageDetector::is_check_due`].
     pub(super) fn delay_before_check(&mut self) -> Duration {
         self.backoffs.broken.reset();
         self.delay_after_failure(FailureKind::Broken, false)
     }
 
-    /// A call became overdue.
+    /// Records that a call became overdue.
     pub(super) fn record_overdue(&mut self) {
         self.load.record_failure();
     }
--- a/src/forwarder/discovery/service_load.rs
+++ b/src/forwarder/discovery/service_load.rs
@@ -1,4 +1,4 @@
-//! An estimate of the load of the discovery service, by what this sender sees of it.
+//! An estimate of the load of the discovery service, from the calls of this sender.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 /// The largest factor of the interval.
 const MAX_INTERVAL_FACTOR: f64 = 2.0;
 
-/// What is known about the load of the service.
+/// The estimate of the load of the service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceLoad {
     response_time: Duration,
@@ -19,28 +19,28 @@
 }
 
 impl ServiceLoad {
-    /// A service of which nothing is known.
+    /// The estimate before the first call.
     pub(super) fn new() -> Self {
         ServiceLoad { response_time: Duration::ZERO, interval_factor: 1.0 }
     }
 
-    /// The time that the service is expected to take for a response.
+    /// The expected response time of the service.
     pub(super) fn response_time(&self) -> Duration {
         self.response_time
     }
 
-    /// The factor by which calls should be rarer than usual.
+    /// The factor of the interval between calls.
     pub(super) fn interval_factor(&self) -> f64 {
         self.interval_factor
     }
 
-    /// A list arrived this long after the service could have sent it.
+    /// Records a list that arrived this long after the service could have sent it.
     pub(super) fn record_list(&mut self, response_time: Duration) {
         self.response_time = response_time.max(self.response_time.mul_f64(RESPONSE_TIME_DECAY));
         self.interval_factor = (self.interval_factor * INTERVAL_DECREASE).max(1.0);
     }
 
-    /// A call failed or is overdue.
+    /// Records a failed or overdue call.
     pub(super) fn record_failure(&mut self) {
         self.interval_factor = (self.interval_factor * INTERVAL_INCREASE).min(MAX_INTERVAL_FACTOR);
     }
--- a/src/forwarder/discovery/tests.rs
+++ b/src/forwarder/discovery/tests.rs
@@ -53,7 +53,8 @@
 #[test]
 fn failed_calls_are_repeated_soon_unless_many_senders_share_the_service_or_it_is_down() {
     let pushed = Settings { poll_discovery: false, ..settings(300) };
-    // The interval after rejections, after broken connections and while the service is down, at first and at the longest.
+    // The interval after rejections, after broken connections and while the service is down, at first and at
+    // the longest.
     let cases = [
         (pushed, [50, 200], [50, 200], [50, 200]),
         (settings(6), [300, 1000], [50, 1000], [300, 1000]),
