--- a/src/forwarder/discovery_client/mod.rs
+++ b/src/forwarder/discovery_client/mod.rs
@@ -31,7 +31,7 @@
     /// The connection broke in the middle of a response.
     #[error("the response is incomplete")]
     IncompleteResponse,
-    /// The response has a status other than the one that means success.
+    /// The response has a status that does not mean success.
     #[error("response status {0}")]
     Status(StatusCode),
 }
@@ -53,7 +53,8 @@
         self.connection = None;
     }
 
-    /// Closes the connection if the other side has closed it, or has sent bytes that are not the response to a call.
+    /// Closes the connection if the other side has closed it, or has sent bytes that are not the response to
+    /// a call.
     pub(crate) async fn disconnect_if_stale(&mut self) {
         if let Some(connection) = &self.connection
             && !connection.is_reusable().await
@@ -64,9 +65,9 @@
 
     /// Sends a request to `address` and passes the head of the response to `read_response`.
     ///
-    /// The connection of the last call is used if it is still open, whatever address it leads to: a caller
-    /// whose address changes has to [`disconnect`](Self::disconnect). `time_limit` covers the request and the
-    /// reading of the response, but not the opening of a connection, which has a timeout of its own.
+    /// The connection of the last call is used if it is still open, even if it is to another address: a
+    /// caller whose address changes has to [`disconnect`](Self::disconnect). `time_limit` covers the request
+    /// and the reading of the response, but not the opening of a connection, which has a timeout of its own.
     ///
     /// # Errors
     ///
@@ -113,8 +114,7 @@
     }
 }
 
-/// Waits until the address differs from the one that `address` has marked as seen, without marking the new
-/// one.
+/// Waits until an address is published that `address` has not marked as seen. The new one is not marked.
 ///
 /// # Errors
 ///
