--- a/src/forwarder/discovery/follower.rs
+++ b/src/forwarder/discovery/follower.rs
@@ -1,10 +1,10 @@
 //! The loop that follows the endpoint list: it calls the discovery service and sends each list to the
 //! runtime.
 //!
-//! After a list, the next call is a watch, to which the service responds when the list changes. After a
-//! failure, the next call follows a backoff. A call without a response in time is overdue: it stays open,
-//! because a slow service may still respond to it, and another call, a hedge, is made beside it. The first
-//! response counts.
+//! After a list, the next call is a watch, to which the service responds when the list changes or the wait
+//! ends. After a failure, the next call follows a backoff. A call without a response in time is overdue: it
+//! stays open, because a slow service may still respond to it, and another call, a hedge, is made beside it.
+//! The first response counts.
 //!
 //! The loop also reports to the runtime when the list becomes stale or fresh, by the freshness bound of
 //! [`list_age`].
--- a/src/forwarder/discovery/list_age_monitor.rs
+++ b/src/forwarder/discovery/list_age_monitor.rs
@@ -62,7 +62,7 @@
 /// A period in which the list is stale unless the service has confirmed it.
 #[derive(Clone, Copy, Debug)]
 struct UnconfirmedPeriod {
-    /// The list in use is confirmed by a response that was current at this time or later.
+    /// The list in use is confirmed by a response whose list was current at this time or later.
     current_since: Instant,
     from: Instant,
     /// The end of the period, if the service was down: it is assumed to stay down.
