--- a/src/forwarder/discovery/follower.rs
+++ b/src/forwarder/discovery/follower.rs
@@ -1,7 +1,15 @@
-//! Follows the endpoint list: makes the calls, and passes on what they return.
+//! The loop that follows the endpoint list: it calls the discovery service and sends each list to the
+//! runtime.
 //!
-//! A call that gets no response in time is not given up, because a slow service would never be heard. Another call is
-//! made beside it, and the first response counts.
+//! After a list, the next call is a watch, to which the service responds when the list changes or the wait
+//! ends. After a failure, the next call follows a backoff. A call without a response in time is overdue: it
+//! stays open, because a slow service may still respond to it, and another call, a hedge, is made beside it.
+//! The first response counts.
+//!
+//! The loop also reports to the runtime when the list becomes stale or fresh, by the freshness bound of
+//! [`list_age`].
+//!
+//! [`list_age`]: super::list_age
 
 use super::InitialList;
 use super::list_age::ListAgeBounds;
@@ -10,7 +18,7 @@
 use super::open_calls::{CallEvent, FinishedCall, ListCall, OpenCalls};
 use super::outage_detector::{FailedCall, FailureKind, OutageDetector, ServiceState};
 use super::request::{ListQuery, PollError};
-use super::schedule::{CallPosition, CallSchedule};
+use super::schedule::{CallContext, CallSchedule};
 use crate::forwarder::event::RuntimeEvent;
 use crate::forwarder::messages::endpoint_list::EndpointList;
 use std::net::SocketAddr;
@@ -20,29 +28,29 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::{Instant, sleep_until};
 
-/// What the follower has to do next.
+/// An event that the follower handles.
 enum Step {
-    /// Operators configured another address.
+    /// Operators have configured another address.
     ChangeAddress,
     /// Bytes of the response to a call have arrived.
     ResponseProgress(ListCall),
     /// A call has ended.
     Complete(FinishedCall),
-    /// Another call is due.
-    Call,
-    /// The list may have become too old.
+    /// The timer has fired.
+    Timer,
+    /// The list may have become stale or fresh.
     CheckAge,
 }
 
-/// What is done when the next call is due.
+/// What happens when the timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum DueCall {
-    /// The call that follows a list or a failure.
-    Regular,
-    /// None yet: the newest call becomes overdue.
-    Overdue,
-    /// A call beside the overdue one.
-    BesideOverdue,
+enum TimerAction {
+    /// The call that follows a list or a failure starts.
+    Call,
+    /// The newest call becomes overdue.
+    MarkOverdue,
+    /// A call beside the overdue one starts.
+    Hedge,
 }
 
 /// The runtime has stopped receiving events.
@@ -56,44 +64,44 @@
     }
 }
 
-/// A list that was passed on.
+/// A list that was sent to the runtime.
 #[derive(Clone, Copy)]
 struct AppliedList {
     /// The newest call that has returned a list.
     call: u64,
     revision: u64,
     at: Instant,
-    /// It was the response to a watch, which goes on.
-    ends_watch: bool,
+    /// Whether the list was the response to a watch.
+    is_watch_response: bool,
 }
 
 /// The state of the loop that follows the list.
 pub(super) struct ListFollower {
-    /// The start-up code of the forwarder holds the sender, and publishes an address when operators change it.
+    /// The address of the service. The task that reloads the configuration publishes a new one.
     address: Receiver<SocketAddr>,
     /// The bounded event queue of the runtime.
     events: Sender<RuntimeEvent>,
     bounds: ListAgeBounds,
     schedule: CallSchedule,
     calls: OpenCalls,
-    next_call_at: Instant,
-    due_call: DueCall,
-    /// What the next regular call follows.
-    position: CallPosition,
-    /// Changes since this revision suffice; `None` if the complete list has to be requested.
+    timer_at: Instant,
+    timer_action: TimerAction,
+    /// The context of the next call that is not a hedge.
+    next_context: CallContext,
+    /// The revision since which changes are requested; `None` if the complete list has to be requested.
     known_revision: Option<u64>,
     /// The list in use, if a call has returned it.
     applied: Option<AppliedList>,
-    /// The first of the rejections since the last list.
-    rejected_since: Option<Instant>,
+    /// When the first call failed since the last list.
+    failing_since: Option<Instant>,
     outages: OutageDetector,
-    /// When the last connection broke that counted as one of its own, if no call has failed otherwise since.
+    /// When the last broken connection was counted; `None` if a call has failed in another way since.
     broken_at: Option<Instant>,
     age: ListAgeMonitor,
 }
 
 impl ListFollower {
-    /// A follower that has made no call yet. `initial_list` is the list that the runtime has.
+    /// Creates a follower that has made no call yet. `initial_list` is the list that the runtime has.
     pub(super) fn new(
         address: Receiver<SocketAddr>,
         events: Sender<RuntimeEvent>,
@@ -107,13 +115,13 @@
             events,
             bounds,
             calls: OpenCalls::new(),
-            next_call_at: now,
+            timer_at: now,
             schedule: CallSchedule::new(bounds, seed),
-            due_call: DueCall::Regular,
-            position: CallPosition::First,
+            timer_action: TimerAction::Call,
+            next_context: CallContext::First,
             known_revision: initial_list.revision,
             applied: None,
-            rejected_since: None,
+            failing_since: None,
             outages: OutageDetector::new(),
             broken_at: None,
             age: initial_list.monitor(),
@@ -122,7 +130,7 @@
 
     /// Follows the list until the runtime stops receiving events.
     pub(super) async fn run(mut self) {
-        // The first call goes to the address that is current now.
+        // The address that was published until now is no change: the first call uses it.
         self.address.mark_unchanged();
         eprintln!("discovery: {}", self.bounds);
         while self.take_step().await.is_ok() {}
@@ -131,9 +139,9 @@
     async fn take_step(&mut self) -> Result<(), RuntimeEnded> {
         match self.next_step().await {
             Step::ChangeAddress => self.change_address(),
-            Step::ResponseProgress(call) => self.expect_response_end(call),
+            Step::ResponseProgress(call) => self.handle_response_progress(call),
             Step::Complete(finished) => self.complete_call(finished).await?,
-            Step::Call => self.make_due_call(),
+            Step::Timer => self.handle_timer(),
             Step::CheckAge => {}
         }
         self.report_age().await
@@ -148,13 +156,15 @@
                 CallEvent::ResponseProgress(call) => Step::ResponseProgress(call),
                 CallEvent::Finished(finished) => Step::Complete(finished),
             },
-            () = sleep_until(self.next_call_at) => Step::Call,
-            () = sleep_until(age_changes_at.unwrap_or(self.next_call_at)), if age_changes_at.is_some() => Step::CheckAge,
+            () = sleep_until(self.timer_at) => Step::Timer,
+            () = sleep_until(age_changes_at.unwrap_or(self.timer_at)),
+                if age_changes_at.is_some() => Step::CheckAge,
         }
     }
 
-    /// Calls a new address at once: the list from the old one may be outdated. The complete list is requested, unless so
-    /// many senders share the service that those of all of them would take it too long.
+    /// Calls a new address at once, because the list from the old address may be outdated. Requests the
+    /// complete list, except in a large fleet, where complete lists for all senders would take the service
+    /// too long.
     fn change_address(&mut self) {
         let now = Instant::now();
         self.calls.change_address();
@@ -164,52 +174,52 @@
             self.known_revision = None;
         }
         self.applied = None;
-        self.rejected_since = None;
+        self.failing_since = None;
         self.outages = OutageDetector::new();
         self.broken_at = None;
-        self.position = CallPosition::AfterFailure;
-        self.schedule_call(DueCall::Regular, now);
+        self.next_context = CallContext::AfterFailure;
+        self.set_timer(TimerAction::Call, now);
     }
 
-    fn schedule_call(&mut self, due_call: DueCall, at: Instant) {
-        self.due_call = due_call;
-        self.next_call_at = at;
+    fn set_timer(&mut self, timer_action: TimerAction, at: Instant) {
+        self.timer_action = timer_action;
+        self.timer_at = at;
     }
 
-    fn make_due_call(&mut self) {
-        match self.due_call {
-            DueCall::Regular => self.call(self.position),
-            DueCall::BesideOverdue => {
+    fn handle_timer(&mut self) {
+        match self.timer_action {
+            TimerAction::Call => self.call(self.next_context),
+            TimerAction::Hedge => {
                 self.calls.make_room();
-                self.call(CallPosition::BesideOverdue);
+                self.call(CallContext::Hedge);
             }
-            DueCall::Overdue => {
+            TimerAction::MarkOverdue => {
                 let list_age = self.age.since_current(Instant::now()).as_millis();
                 eprintln!("discovery: no response in time; list {list_age} ms old");
                 self.schedule.record_overdue();
-                self.schedule_call(DueCall::BesideOverdue, Instant::now());
+                self.set_timer(TimerAction::Hedge, Instant::now());
             }
         }
     }
 
-    fn call(&mut self, position: CallPosition) {
+    fn call(&mut self, context: CallContext) {
         let address = *self.address.borrow();
-        let query = self.query(position);
+        let query = self.query(context);
         let call = self.calls.start(address, query, self.schedule.limits(query));
-        if position == CallPosition::AfterList && query.is_watch() {
+        if context == CallContext::AfterList && query.is_watch() {
             self.age.record_watch(call.started_at, query.wait());
         }
-        if position == CallPosition::AfterUncheckedList {
+        if context == CallContext::AfterPossiblyLateList {
             self.record_watch_gap();
         }
-        let next_call_after = self.schedule.next_call_after(query, position);
-        self.schedule_call(DueCall::Overdue, call.started_at + next_call_after);
+        let hedge_after = self.schedule.hedge_after(query, context);
+        self.set_timer(TimerAction::MarkOverdue, call.started_at + hedge_after);
     }
 
-    /// What the next call asks for. If the list has to be confirmed at a later time, a watch ends then: its response
-    /// shows that the list was current at that time.
-    fn query(&self, position: CallPosition) -> ListQuery {
-        let query = self.schedule.query(self.known_revision, position, self.age.is_confirmed());
+    /// What the next call asks for. If the list has to be confirmed at a later time, the wait of a watch ends
+    /// then, so that the response confirms the list.
+    fn query(&self, context: CallContext) -> ListQuery {
+        let query = self.schedule.query(self.known_revision, context, self.age.is_confirmed());
         let now = Instant::now();
         match self.age.next_confirmation(now) {
             Some(confirmation) => query.with_longest_wait(confirmation - now),
@@ -217,23 +227,26 @@
         }
     }
 
-    /// What the response tells must be known soon after its last byte: if no more arrives for a while and it has not
-    /// ended, another call is made beside it.
-    fn expect_response_end(&mut self, call: ListCall) {
+    /// Handles the arrival of bytes of a response. The service counts the changes in it as sent, whether or
+    /// not the rest arrives. A hedge follows if no more bytes arrive for a while and the response has not
+    /// ended.
+    fn handle_response_progress(&mut self, call: ListCall) {
         let now = Instant::now();
         self.age.record_response_progress(call.number, now);
         let newest = self.calls.open().next_back();
-        if newest.is_some_and(|newest| newest.number == call.number) && self.due_call == DueCall::Overdue {
+        if newest.is_some_and(|newest| newest.number == call.number)
+            && self.timer_action == TimerAction::MarkOverdue
+        {
             let overdue_at = call.started_at + self.schedule.overdue_after(call.query);
             let stalled_at = now + ListAgeBounds::response_completion_allowance();
-            self.schedule_call(DueCall::Overdue, stalled_at.min(overdue_at));
+            self.set_timer(TimerAction::MarkOverdue, stalled_at.min(overdue_at));
         }
     }
 
     async fn complete_call(&mut self, finished: FinishedCall) -> Result<(), RuntimeEnded> {
         let (call, result) = self.calls.complete(finished);
         match result {
-            Ok(list) => self.accept(call, list).await,
+            Ok(list) => self.handle_list(call, list).await,
             Err(error) => {
                 self.record_failure(call, &error);
                 Ok(())
@@ -241,14 +254,14 @@
         }
     }
 
-    /// Passes a list on, unless a newer one was passed on before.
-    async fn accept(&mut self, call: ListCall, list: EndpointList) -> Result<(), RuntimeEnded> {
+    /// Sends a list to the runtime, unless a newer one was sent before.
+    async fn handle_list(&mut self, call: ListCall, list: EndpointList) -> Result<(), RuntimeEnded> {
         self.age.record_response_end(call.number);
         if self.is_outdated(call, &list) {
-            eprintln!("discovery: call {}: revision {} is outdated", call.number, list.revision);
-            self.position = CallPosition::AfterFailure;
+            eprintln!("discovery: call {}: revision {} is outdated; ignored", call.number, list.revision);
+            self.next_context = CallContext::AfterFailure;
             if self.calls.open().len() == 0 {
-                self.schedule_call(DueCall::Regular, Instant::now());
+                self.set_timer(TimerAction::Call, Instant::now());
             }
             return Ok(());
         }
@@ -259,8 +272,9 @@
         Ok(self.events.send(RuntimeEvent::EndpointList(list)).await?)
     }
 
-    /// Whether a list was passed on that this one has nothing to add to: one from a newer call, or a newer one that
-    /// arrived while this call was open. A service that has started again at a lower revision answers later calls.
+    /// Whether this list adds nothing to one that was applied before: one from a newer call, unless this list
+    /// has a higher revision, or one of a higher revision that arrived while this call was open. A lower
+    /// revision in the response to a call that started later is that of a service that has restarted.
     fn is_outdated(&self, call: ListCall, list: &EndpointList) -> bool {
         let Some(applied) = self.applied else { return false };
         let is_late = call.number < applied.call;
@@ -271,48 +285,52 @@
     fn record_list(&mut self, call: ListCall, list: &EndpointList) {
         let now = Instant::now();
         let newest_call = self.applied.map_or(call.number, |applied| applied.call.max(call.number));
-        let ends_watch = call.query.is_watch();
-        self.applied = Some(AppliedList { call: newest_call, revision: list.revision, at: now, ends_watch });
+        let is_watch_response = call.query.is_watch();
+        self.applied =
+            Some(AppliedList { call: newest_call, revision: list.revision, at: now, is_watch_response });
         self.known_revision = next_revision(call.query, list);
-        self.rejected_since = None;
+        self.failing_since = None;
         self.outages.record_list();
         self.age.record_current(current_at(call, list, now));
-        self.position = self.position_after(call, list, now);
+        self.next_context = self.context_after(call, list, now);
         self.schedule.record_list(response_time(call, list, now));
         let newest_watch = self.calls.open().rev().find(|open| open.query.is_watch());
         match newest_watch {
             Some(watch) if self.known_revision.is_some() => self.continue_watch(watch, call, now),
-            _ => self.schedule_call(DueCall::Regular, now),
+            _ => self.set_timer(TimerAction::Call, now),
         }
     }
 
-    /// What the call after this list follows. The service counts the changes between the response to a watch and the next call
-    /// as told; they are known in time if it takes up that call in time.
-    fn position_after(&self, call: ListCall, list: &EndpointList, now: Instant) -> CallPosition {
+    /// The context of the call after this list. The service counts a change between the response to a watch
+    /// and the next call as sent. The list includes such a change in time only if the service accepts the
+    /// next call in time, which is assumed if the response was prompt.
+    fn context_after(&self, call: ListCall, list: &EndpointList, now: Instant) -> CallContext {
         if !self.bounds.is_shared() || !call.query.is_watch() {
-            return CallPosition::AfterList;
+            return CallContext::AfterList;
         }
-        match self.bounds.is_taken_up_in_time(longest_response_time(call, list, now)) {
-            true => CallPosition::AfterList,
-            false => CallPosition::AfterUncheckedList,
+        match self.bounds.is_accepted_in_time(longest_response_time(call, list, now)) {
+            true => CallContext::AfterList,
+            false => CallContext::AfterPossiblyLateList,
         }
     }
 
-    /// A list arrived beside an open watch, which goes on unless it is older than the call for that list and either
-    /// overdue or so long that the list would expire meanwhile.
+    /// Handles a list that arrived while a watch is open. Another call starts at once only if the watch was
+    /// started before the call that returned the list, and is either overdue or so long that the list would
+    /// become stale meanwhile.
     fn continue_watch(&mut self, watch: ListCall, call: ListCall, now: Instant) {
         let overdue_at = watch.started_at + self.schedule.overdue_after(watch.query);
         let is_short = !self.bounds.has_long_watches();
         if now < overdue_at && is_short {
-            self.schedule_call(DueCall::Overdue, overdue_at);
+            self.set_timer(TimerAction::MarkOverdue, overdue_at);
         } else if watch.number < call.number {
-            self.schedule_call(DueCall::Regular, now);
+            self.set_timer(TimerAction::Call, now);
         }
     }
 
     fn record_failure(&mut self, call: ListCall, error: &PollError) {
         let now = Instant::now();
-        let failure = FailureKind::of(error, now - call.started_at, self.age.is_unread(call.number));
+        let failure =
+            FailureKind::of(error, now - call.started_at, self.age.has_partial_response(call.number));
         if failure.is_rejection() {
             self.age.record_response_end(call.number);
         }
@@ -322,7 +340,7 @@
         let is_down = self.record_service_state(call, failure, now);
         self.record_lost_changes(failure, is_down, now);
         self.age.record_failure();
-        self.position = CallPosition::AfterFailure;
+        self.next_context = CallContext::AfterFailure;
         let is_newest = self.calls.open().all(|open| open.number < call.number);
         if is_newest {
             let delay = if self.outages.is_check_due() {
@@ -334,22 +352,24 @@
             let list_age = self.age.since_current(now).as_millis();
             let number = call.number;
             eprintln!(
-                "discovery: call {number}: {error} after {elapsed} ms; list {list_age} ms old; next call in {next_in} ms"
+                "discovery: call {number}: {error} after {elapsed} ms; list {list_age} ms old; \
+                next call in {next_in} ms"
             );
             // The time that a connection attempt took is a part of the delay.
             let since = if failure == FailureKind::Unreachable { call.started_at } else { now };
-            self.schedule_call(DueCall::Regular, now.max(since + delay));
+            self.set_timer(TimerAction::Call, now.max(since + delay));
         }
     }
 
-    /// Decides what the failed call tells of the service. If its connection broke, a response may have been lost with it,
-    /// unless a newer call was answered since. Returns whether the service is down.
+    /// Updates the state of the service after a failed call, and returns whether the service is down. If the
+    /// connection of the call broke, its response may have been lost, unless a newer call has returned a
+    /// list.
     fn record_service_state(&mut self, call: ListCall, kind: FailureKind, now: Instant) -> bool {
         let elapsed = now - call.started_at;
         let was_healthy_watch = self.was_healthy_watch(call, elapsed);
         let is_superseded = self.applied.is_some_and(|applied| call.number < applied.call);
         let failed_call = FailedCall { kind, was_healthy_watch, elapsed };
-        if failed_call.ended_watch_not_taken_up() {
+        if failed_call.ended_unestablished_watch() {
             self.record_watch_gap();
         }
         let state = if self.broke_with_earlier_call(call, kind) {
@@ -358,9 +378,10 @@
             self.broken_at = (kind == FailureKind::Broken).then_some(now);
             self.outages.record_failure(failed_call)
         };
-        let may_be_lost = self.outages.is_check_due() || matches!(state, ServiceState::Breaking { .. });
+        let may_have_lost_response =
+            self.outages.is_check_due() || matches!(state, ServiceState::Breaking { .. });
         let is_down = matches!(state, ServiceState::Down { .. });
-        if may_be_lost && !is_superseded {
+        if may_have_lost_response && !is_superseded {
             self.age.record_lost_response(now);
         } else if is_down {
             self.age.record_outage(now);
@@ -368,41 +389,44 @@
         is_down
     }
 
-    /// Whether the connection of this call broke together with that of an earlier one, beside which it was open. One restart of
-    /// the service breaks all of them. A call that starts later counts again, also where each call breaks the one before.
+    /// Whether the connection of this call broke together with the last one that was counted, because the
+    /// call was open at that time. One restart of the service breaks all open connections and counts once. A
+    /// call that started later counts again, also if each call breaks the connection of the one before.
     fn broke_with_earlier_call(&self, call: ListCall, kind: FailureKind) -> bool {
         let connections_break = matches!(self.outages.state(), ServiceState::Breaking { .. });
         let was_open = self.broken_at.is_some_and(|broken_at| call.started_at <= broken_at);
         kind == FailureKind::Broken && connections_break && was_open
     }
 
-    /// The service has rejected a call that should have continued a watch. It may have told the watch of changes until then.
-    /// One that a sender has for itself is not crowded, but down, and has nothing to tell.
+    /// Records that the service may not have accepted the call that continues a watch: it counts changes
+    /// since the response to the watch as sent. A local agent is never overloaded: if it rejects a call, it
+    /// is down and has sent nothing.
     fn record_watch_gap(&mut self) {
-        let ends_watch = |applied: &AppliedList| applied.ends_watch && self.bounds.is_shared();
-        if let Some(applied) = self.applied.filter(ends_watch) {
+        let is_watch_response = |applied: &AppliedList| applied.is_watch_response && self.bounds.is_shared();
+        if let Some(applied) = self.applied.filter(is_watch_response) {
             self.age.record_watch_gap(applied.at);
         }
     }
 
-    /// Whether this call was a watch that followed a list, was not overdue, and had no other call beside it.
+    /// Whether this call was a watch right after a list, was within its wait, and had no other call beside
+    /// it.
     fn was_healthy_watch(&self, call: ListCall, elapsed: Duration) -> bool {
         let is_only_call = self.calls.open().len() == 0;
         let follows_list = self.applied.is_some_and(|applied| applied.call + 1 == call.number);
         call.query.is_watch() && is_only_call && follows_list && elapsed < call.query.wait()
     }
 
-    /// Decides whether the complete list has to be requested. The service lost no change if it rejected the call because
-    /// it is overloaded; it may be restarting if it does so for a while.
+    /// Requests the complete list next if changes may have been lost. An overloaded service that rejects a
+    /// call loses no change, but one that rejects calls for a while may be restarting.
     fn record_lost_changes(&mut self, failure: FailureKind, is_down: bool, now: Instant) {
-        let rejected_since = *self.rejected_since.get_or_insert(now);
-        let may_restart = is_down || now - rejected_since >= self.bounds.min_restart_duration();
+        let failing_since = *self.failing_since.get_or_insert(now);
+        let may_restart = is_down || now - failing_since >= self.bounds.min_restart_duration();
         if !failure.is_rejection() || may_restart {
             self.known_revision = None;
         }
     }
 
-    /// Tells the runtime when the list becomes too old, and when it is fresh again.
+    /// Informs the runtime when the list becomes stale or fresh.
     async fn report_age(&mut self) -> Result<(), RuntimeEnded> {
         let Some(age) = self.age.change(Instant::now()) else { return Ok(()) };
         match age {
--- a/src/forwarder/discovery/list_age_monitor/tests.rs
+++ b/src/forwarder/discovery/list_age_monitor/tests.rs
@@ -2,7 +2,7 @@
 use crate::interface::Settings;
 use std::time::Duration;
 
-/// The list of a sender that asks a service which few senders share.
+/// The settings of a sender that polls a service which few senders share.
 fn settings() -> Settings {
     Settings {
         poll_discovery: true,
@@ -13,6 +13,7 @@
     }
 }
 
+/// The settings of a sender with a local agent.
 fn pushed() -> Settings {
     Settings { poll_discovery: false, ..settings() }
 }
@@ -27,7 +28,7 @@
 }
 
 #[test]
-fn a_list_expires_before_a_change_after_it_must_be_known_and_the_grace_is_over() {
+fn a_list_becomes_stale_at_the_freshness_bound() {
     let start = Instant::now();
     for sender_count in [3, 40, 41, 900] {
         let mut monitor = first_list(&Settings { sender_count, ..settings() }, start);
@@ -51,7 +52,7 @@
         monitor.record_outage(start + seconds(f64::from(second)));
         assert_eq!(monitor.change(start + seconds(f64::from(second) + 0.9)), None);
     }
-    // It counts anew once the service can be reached.
+    // The age counts from the last moment of the outage.
     assert_eq!(monitor.change(start + seconds(59.0 + 6.5)), Some(ListAge::Stale));
 }
 
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn a_list_does_not_expire_where_silence_may_be_an_outage() {
+fn the_list_of_an_agent_does_not_expire() {
     let start = Instant::now();
     let mut monitor = first_list(&pushed(), start);
     monitor.record_current(start);
@@ -81,7 +82,7 @@
         let mut monitor = first_list(&settings, start);
         assert_eq!(monitor.change(start), Some(ListAge::Stale));
         assert_eq!(monitor.change(start + seconds(0.4)), None, "it was reported");
-        // An outage says nothing of what an earlier process was told.
+        // The service may have sent changes to an earlier process before the outage.
         monitor.record_outage(start + seconds(0.5));
         assert_eq!(monitor.change(start + seconds(0.6)), None);
         monitor.record_current(start + seconds(1.0));
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn the_first_process_uses_its_list_until_a_change_since_its_start_must_be_known() {
+fn the_first_process_uses_its_list_for_the_freshness_bound_after_its_start() {
     let start = Instant::now();
     let origin = ListOrigin::FirstConfiguration;
     let short = Settings { max_list_age: 2_000_000, ..settings() };
@@ -103,12 +104,12 @@
         monitor.record_current(start + seconds(7.0));
         assert_eq!(monitor.change(start + seconds(7.0)), Some(ListAge::Fresh));
     }
-    // It counts anew while the service is down.
+    // An outage postpones the bound.
     let mut monitor = ListAgeMonitor::new(ListAgeBounds::new(&settings()), start, origin);
     monitor.record_outage(start + seconds(5.0));
     assert_eq!(monitor.change(start + seconds(11.2)), None);
     assert_eq!(monitor.change(start + seconds(11.5)), Some(ListAge::Stale));
-    // What an agent has counts as told at once.
+    // A change that an agent has counts as sent at once.
     let mut monitor = ListAgeMonitor::new(ListAgeBounds::new(&pushed()), start, origin);
     assert_eq!(monitor.change(start), Some(ListAge::Stale));
 }
@@ -148,7 +149,7 @@
 }
 
 #[test]
-fn the_list_of_a_predecessor_is_used_until_its_successor_must_know_what_it_was_told() {
+fn the_list_of_a_predecessor_is_used_until_the_freshness_bound_after_a_handover() {
     let start = Instant::now();
     for settings in [settings(), pushed()] {
         let mut monitor = ListAgeMonitor::new(ListAgeBounds::new(&settings), start, ListOrigin::Predecessor);
@@ -160,7 +161,7 @@
 }
 
 #[test]
-fn a_list_from_another_address_is_used_until_the_new_one_must_be_known_to_have_changed_it() {
+fn the_list_of_an_old_address_is_used_until_the_freshness_bound_after_the_address_change() {
     let start = Instant::now();
     let mut monitor = first_list(&pushed(), start);
     monitor.record_current(start);
@@ -172,7 +173,7 @@
 }
 
 #[test]
-fn a_second_change_of_address_does_not_put_off_what_the_first_one_has_to_tell() {
+fn a_second_address_change_does_not_postpone_the_freshness_bound_of_the_first() {
     let start = Instant::now();
     for settings in [settings(), pushed()] {
         let mut monitor = first_list(&settings, start);
@@ -181,7 +182,7 @@
         monitor.record_address_change(start + seconds(4.5));
         assert_eq!(monitor.change(start + seconds(5.2)), None);
         assert_eq!(monitor.change(start + seconds(5.5)), Some(ListAge::Stale));
-        // A list that was current at the end of the first time confirms the list until the end of the second one.
+        // A list that was current when the first period ended confirms the list until the second period ends.
         monitor.record_current(start + seconds(5.1));
         assert_eq!(monitor.change(start + seconds(5.6)), Some(ListAge::Fresh));
         assert_eq!(monitor.next_confirmation(start + seconds(5.6)), Some(start + seconds(8.5)));
@@ -189,7 +190,8 @@
     }
 }
 
-/// The list of a sender that got a whole list at `start`, in each way to follow it.
+/// The monitors of senders that received a complete list at `start`: in a small fleet, with a local agent and
+/// in a large fleet.
 fn monitors(start: Instant) -> Vec<ListAgeMonitor> {
     let polled = Settings { sender_count: 300, ..settings() };
     let monitor = |settings: &Settings| {
@@ -209,7 +211,8 @@
         assert_eq!(monitor.change(start + seconds(1.2)), None);
         assert!(monitor.next_change().is_some_and(|at| at <= start + seconds(1.31)));
         assert_eq!(monitor.change(start + seconds(1.31)), Some(ListAge::Stale));
-        // An outage does not undo what the response told; a list from a call that began before it may lack that.
+        // An outage does not clear the response, and a list that was current before its arrival may lack its
+        // changes.
         monitor.record_outage(start + seconds(1.5));
         monitor.record_current(start + seconds(0.9));
         assert_eq!(monitor.change(start + seconds(1.6)), None);
@@ -223,9 +226,9 @@
     let start = Instant::now();
     for mut monitor in monitors(start) {
         monitor.record_response_progress(4, start + seconds(1.0));
-        assert!(monitor.is_unread(4) && !monitor.is_unread(3));
+        assert!(monitor.has_partial_response(4) && !monitor.has_partial_response(3));
         monitor.record_response_end(4);
-        assert!(!monitor.is_unread(4));
+        assert!(!monitor.has_partial_response(4));
         assert_eq!(monitor.change(start + seconds(2.0)), None);
     }
 }
@@ -238,7 +241,7 @@
         monitor.record_lost_response(start + seconds(1.2));
         assert_eq!(monitor.change(start + seconds(1.2)), None);
         assert_eq!(monitor.change(start + seconds(1.31)), Some(ListAge::Stale));
-        // A list from a call that began before may lack what was lost.
+        // A list that was current before may lack the changes in the lost response.
         monitor.record_current(start + seconds(0.9));
         assert_eq!(monitor.change(start + seconds(1.4)), None);
         monitor.record_current(start + seconds(1.5));
@@ -251,7 +254,7 @@
 }
 
 #[test]
-fn an_outage_does_not_undo_what_a_watch_may_have_been_told_before_its_next_call() {
+fn an_outage_does_not_clear_a_possible_change_between_two_watches() {
     let start = Instant::now();
     for mut monitor in monitors(start) {
         monitor.record_watch_gap(start + seconds(1.0));
