--- a/src/forwarder/runtime/handover/successor.rs
+++ b/src/forwarder/runtime/handover/successor.rs
@@ -175,7 +175,7 @@
     /// Releases what the successor owns, and forwards the deferred events to it.
     fn complete_handover(&mut self, Handover { channel, events, .. }: Handover) {
         self.successor = Successor::Owner(OwningSuccessor { channel, since: Instant::now(), ended: false });
-        self.tasks_of_owner.drain(..).for_each(|task| task.abort());
+        self.owner_tasks.drain(..).for_each(|task| task.abort());
         self.messages.clear();
         self.forward_to_successor(events);
     }
--- a/src/forwarder/runtime/mod.rs
+++ b/src/forwarder/runtime/mod.rs
@@ -107,7 +107,7 @@
     successor: Successor,
     pending_replies: PendingReplies,
     /// Tasks that only the process that owns the messages runs.
-    tasks_of_owner: Vec<AbortHandle>,
+    owner_tasks: Vec<AbortHandle>,
     /// Shared with the server, which counts the connections of this process.
     connection_counts: Arc<ConnectionCounts>,
     /// The bounded event queue of this runtime, for the calls that it starts.
@@ -180,7 +180,7 @@
             predecessor,
             successor: Successor::None,
             pending_replies: PendingReplies::default(),
-            tasks_of_owner: Vec::new(),
+            owner_tasks: Vec::new(),
             connection_counts: channels.connection_counts,
             events: channels.events,
             metrics: IntervalMetrics::new(),
@@ -196,7 +196,7 @@
 
     /// Registers a task to be aborted once a successor owns the messages.
     pub(crate) fn abort_after_handover(&mut self, task: AbortHandle) {
-        self.tasks_of_owner.push(task);
+        self.owner_tasks.push(task);
     }
 
     /// Takes turns until the process may end, and publishes the lifecycle phase. `events` is the receiver of
