--- a/src/forwarder/upgrade/channel.rs
+++ b/src/forwarder/upgrade/channel.rs
@@ -8,25 +8,25 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// The disconnection of the other process is reported this long after it was noticed, because the connections of
-/// that process to endpoints may be closed a moment later than the channel.
+/// Delay between noticing that the other process has disconnected and reporting it. When that process ends,
+/// its connections to endpoints may be closed slightly later than the channel.
 const DISCONNECT_DELAY: Duration = Duration::from_millis(50);
 
-/// What the other process is to this one.
+/// The role of the other process relative to this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PeerRole {
-    /// It has handed over to this process.
+    /// The other process has handed over to this one.
     Predecessor,
-    /// It takes over from this process.
+    /// The other process takes over from this one.
     Successor,
 }
 
 /// Something that happened on a [`PeerChannel`].
 #[derive(Debug)]
 pub(crate) struct PeerEvent {
-    /// What the other process is to this one.
+    /// The role of the other process.
     pub(crate) role: PeerRole,
-    /// The channel. Events of a channel that was dropped may still be queued.
+    /// The [`PeerChannel::id`] of the channel. Events of a dropped channel may still be queued.
     pub(crate) channel_id: u64,
     /// What happened.
     pub(crate) kind: PeerEventKind,
@@ -37,26 +37,27 @@
 pub(crate) enum PeerEventKind {
     /// The other process sent a frame.
     FrameReceived(Frame),
-    /// The other process has ended, or what it sent could not be read. This is the last event of the channel.
+    /// The other process has ended, or a frame of it could not be read. This is the last event of a channel.
     ChannelClosed,
 }
 
-/// A channel to another process. When it is dropped, it stops receiving; the connection is closed once the
-/// queued frames are written and every [`Self::sender`] is dropped.
+/// A channel to another process. Dropping it stops the receiver. The connection is closed once the queued
+/// frames are written and every [`Self::sender`] is dropped.
 pub(crate) struct PeerChannel {
-    /// Distinguishes the channels of one role.
+    /// Identifies the channel among those of one role.
     pub(crate) id: u64,
-    /// The writer task holds the other end. The queue is unbounded, since the runtime must not wait for the
-    /// other process.
+    /// The queue of the writer task. It is unbounded, because the runtime must not wait for the other
+    /// process.
     frames: UnboundedSender<Frame>,
-    /// Ends when no sender of frames is left, or when the other process has closed the connection.
+    /// Ends when every sender of the queue is dropped, or when the other process has closed the connection.
     writer: JoinHandle<()>,
     /// Aborted when the channel is dropped.
     reader: JoinHandle<()>,
 }
 
 impl PeerChannel {
-    /// Starts the tasks that read and write the connection. Received frames are sent to `events`.
+    /// Starts the tasks that read and write the connection. Received frames and the disconnection of the
+    /// other process are sent to `events`.
     pub(super) fn start<E>(id: u64, role: PeerRole, stream: FramedStream, events: Sender<E>) -> Self
     where
         E: From<PeerEvent> + Send + 'static,
@@ -67,17 +68,17 @@
         PeerChannel { id, frames, writer, reader }
     }
 
-    /// Queues a frame. It is lost if the other process has ended, which a [`PeerEvent`] reports.
+    /// Queues a frame. If the other process has ended, which a [`PeerEvent`] reports, the frame is lost.
     pub(crate) fn send(&self, frame: Frame) {
         let _ = self.frames.send(frame);
     }
 
-    /// Another sender of frames, for a task that replies later.
+    /// Returns another sender of frames, for a task that replies later.
     pub(crate) fn sender(&self) -> UnboundedSender<Frame> {
         self.frames.clone()
     }
 
-    /// Closes the channel and waits, up to this limit, until the queued frames are written.
+    /// Closes the channel, and waits for at most `limit` until the queued frames are written.
     pub(crate) async fn flush(mut self, limit: Duration) {
         let (closed, _) = unbounded_channel();
         self.frames = closed;
@@ -99,7 +100,7 @@
     }
 }
 
-/// Sends the frames of the other process to `events` and, at the end, its disconnection.
+/// Sends the frames of the other process to `events`, followed by its disconnection.
 async fn read_frames<E: From<PeerEvent>>(
     mut reader: FrameReader,
     channel_id: u64,
@@ -119,13 +120,13 @@
     }
 }
 
-/// Waits for the next frame. An invalid one closes the channel.
+/// Waits for the next frame. An invalid frame closes the channel.
 async fn next_event(reader: &mut FrameReader) -> PeerEventKind {
     match reader.receive().await {
         Ok(frame) => PeerEventKind::FrameReceived(frame),
         Err(UpgradeError::Closed) => PeerEventKind::ChannelClosed,
         Err(error) => {
-            eprintln!("upgrade: {error}");
+            eprintln!("upgrade: {error}; closing the channel");
             PeerEventKind::ChannelClosed
         }
     }
--- a/src/forwarder/upgrade/framing.rs
+++ b/src/forwarder/upgrade/framing.rs
@@ -1,4 +1,4 @@
-//! Frames on a Unix socket: one JSON document a line.
+//! Reads and writes frames on a Unix socket, one JSON document per line.
 
 use super::error::UpgradeError;
 use super::frames::Frame;
@@ -6,10 +6,10 @@
 use tokio::net::UnixStream;
 use tokio::net::unix::{OwnedReadHalf, OwnedWriteHalf};
 
-/// Upper bound of a frame. The largest contains the endpoint list and all calls in flight, and is far
+/// Maximum length of a frame. Even the largest, with the endpoint list and all calls in flight, is far
 /// shorter.
 const MAX_FRAME_BYTES: u64 = 8 << 20;
-/// Ends each frame. JSON without layout contains none.
+/// Terminates each frame. Compact JSON contains no line break.
 const FRAME_END: u8 = b'\n';
 
 /// A connection to the other process.
@@ -19,7 +19,7 @@
 }
 
 impl FramedStream {
-    /// Frames on this connection, in both directions.
+    /// Splits a connection into a reader and a writer of frames.
     pub(super) fn new(stream: UnixStream) -> Self {
         let (read_half, write_half) = stream.into_split();
         FramedStream { reader: FrameReader(BufReader::new(read_half)), writer: FrameWriter(write_half) }
@@ -35,7 +35,7 @@
         let mut line = Vec::new();
         let mut limited = (&mut self.0).take(MAX_FRAME_BYTES);
         limited.read_until(FRAME_END, &mut line).await.map_err(UpgradeError::Receive)?;
-        // The frame was cut off because the other process ended, or it is longer than any frame.
+        // The connection was closed, possibly within a frame, or the frame exceeds the maximum length.
         if line.pop() != Some(FRAME_END) {
             return Err(UpgradeError::Closed);
         }
--- a/src/forwarder/upgrade/mod.rs
+++ b/src/forwarder/upgrade/mod.rs
@@ -1,9 +1,10 @@
-//! Replacement of one version of the program by the next under load.
+//! The lock and the channel with which a new process, often of another version, replaces a running one under
+//! load.
 //!
-//! A lock that one process at a time can hold decides who owns the journal and makes the calls. The successor
-//! connects to the owner, which sends what the journal does not contain and releases the lock. Afterwards the
-//! two processes exchange [`Frame`]s until the predecessor has completed its calls and its clients have disconnected.
-//! This module provides the lock and the channel; the runtime acts on the frames.
+//! The process that holds the lock owns the journal and makes the calls. A successor connects to the owner,
+//! which sends the state that the journal does not contain and releases the lock. Afterwards the two
+//! processes exchange [`Frame`]s until the predecessor has completed its calls and its clients have
+//! disconnected. The runtime handles the frames.
 
 mod channel;
 mod error;
