--- a/src/forwarder/upgrade/lock.rs
+++ b/src/forwarder/upgrade/lock.rs
@@ -1,4 +1,4 @@
-//! The lock on the state folder.
+//! The lock of the state folder.
 
 use super::error::UpgradeError;
 use std::fs::{File, TryLockError};
@@ -8,15 +8,15 @@
 /// Name of the locked file in the state folder.
 const FILE_NAME: &str = "lock";
 
-/// The lock of the process that owns the journal and makes the calls. The kernel releases it when the process
-/// ends, however it ends.
+/// A file lock, held by the process that owns the journal and makes the calls. The kernel releases it when
+/// the process ends, even if it is killed.
 pub(crate) struct StateLock {
     path: PathBuf,
     file: File,
 }
 
 impl StateLock {
-    /// Opens the lock of the folder without acquiring it.
+    /// Opens the lock of the state folder without acquiring it.
     pub(crate) fn open(folder: &Path) -> Result<Self, UpgradeError> {
         let path = folder.join(FILE_NAME);
         match File::options().write(true).create(true).truncate(false).open(&path) {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Acquires the lock if it is free. Returns whether this process holds it now.
+    /// Acquires the lock if it is free. Returns whether this process now holds the lock.
     pub(crate) fn try_acquire(&self) -> Result<bool, UpgradeError> {
         match self.file.try_lock() {
             Ok(()) => Ok(true),
--- a/src/forwarder/upgrade/take_over.rs
+++ b/src/forwarder/upgrade/take_over.rs
@@ -1,4 +1,4 @@
-//! How a process that starts becomes the owner of the state folder.
+//! Makes a process that starts the owner of the state folder.
 
 use super::channel::{PeerChannel, PeerEvent, PeerRole};
 use super::error::UpgradeError;
@@ -12,35 +12,35 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The predecessor must send its state within this time. It ends its turn and writes its journal first.
+/// Time limit for the predecessor to complete its turn, write its journal and send its state.
 const HANDOFF_TIMEOUT: Duration = Duration::from_secs(3);
-/// The predecessor, once it has handed over, must release the lock within this time.
+/// Time limit for the predecessor to release the lock after it has handed over.
 const LOCK_TIMEOUT: Duration = Duration::from_secs(2);
 /// Pause between two attempts to acquire the lock after the predecessor has handed over.
 const LOCK_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Pause between two attempts to take over.
 const TAKE_OVER_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// The id of the channel to the predecessor. There is one predecessor at most.
+/// The id of the channel to the predecessor. A process has at most one predecessor.
 const PREDECESSOR_CHANNEL_ID: u64 = 0;
 
-/// The ownership of the state folder, with which a process starts.
+/// The ownership of the state folder, acquired when a process starts.
 pub(crate) struct Ownership {
-    /// The lock, which this process holds.
+    /// The lock of the state folder, held by this process.
     pub(crate) lock: StateLock,
-    /// The process that has handed over, if there was one.
+    /// The process that has handed over to this one, if there was one.
     pub(crate) predecessor: Option<Predecessor>,
 }
 
-/// A process that has handed over and waits for the confirmation.
+/// A process that has handed over and waits for this process to confirm its ownership.
 pub(crate) struct Predecessor {
     state: HandoffState,
     stream: FramedStream,
 }
 
 impl Predecessor {
-    /// Confirms that this process owns the state now. Nothing may be written to the journal before: without the
-    /// confirmation the predecessor resumes with the state that it has in memory. Its later frames are sent to
-    /// `events`.
+    /// Confirms that this process now owns the state folder. Before that, nothing may be written to the
+    /// journal: without the confirmation, the predecessor continues with the state that it has in memory.
+    /// Later frames of the predecessor are sent to `events`.
     ///
     /// # Errors
     ///
@@ -58,12 +58,12 @@
     }
 }
 
-/// Acquires the lock of the folder, or takes over from the process that holds it. Retries until one of them
-/// succeeds.
+/// Acquires the lock of the state folder, or takes over from the process that holds it. Retries until one of
+/// the two succeeds.
 ///
 /// # Errors
 ///
-/// The lock cannot be opened or acquired for another reason than that it is held.
+/// The lock cannot be opened, or acquiring it fails for a reason other than that another process holds it.
 pub(crate) async fn acquire_ownership(folder: &Path) -> Result<Ownership, UpgradeError> {
     let lock = StateLock::open(folder)?;
     if lock.try_acquire()? {
@@ -73,7 +73,8 @@
     Ok(Ownership { lock, predecessor })
 }
 
-/// Retries until this process holds the lock. Returns the predecessor, unless that ended without a handoff.
+/// Retries until this process holds the lock. Returns the predecessor, or `None` if it ended without a
+/// handoff.
 async fn wait_for_ownership(folder: &Path, lock: &StateLock) -> Result<Option<Predecessor>, UpgradeError> {
     loop {
         match take_over(folder, lock).await {
@@ -87,7 +88,7 @@
     }
 }
 
-/// Requests a hand-over from the owner of the folder, and waits for its state and its lock.
+/// Requests a handover from the owner of the state folder, and waits for its state and the lock.
 async fn take_over(folder: &Path, lock: &StateLock) -> Result<Predecessor, UpgradeError> {
     let mut stream = connect(folder).await?;
     stream.writer.send(&Frame::TakeOver).await?;
