--- a/src/forwarder/upgrade/listener.rs
+++ b/src/forwarder/upgrade/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts the connections of processes that request to take over from this one.
+//! Listens for processes that request to take over from this one.
 
 use super::channel::{PeerChannel, PeerEvent, PeerRole};
 use super::error::UpgradeError;
@@ -13,28 +13,29 @@
 use tokio::sync::mpsc::Sender;
 use tokio::time::{sleep, timeout};
 
-/// Name of the socket in the state folder. It is the same in all versions.
+/// Name of the socket in the state folder, the same in all versions.
 const SOCKET_NAME: &str = "handover";
-/// A process that connects must send its first frame within this time.
-const GREETING_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause after the socket could not be bound.
+/// Time limit for a process that has connected to send its request to take over.
+const TAKE_OVER_REQUEST_TIMEOUT: Duration = Duration::from_secs(2);
+/// Pause between two attempts to bind the socket.
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The socket on which the owner of the folder accepts successors. Each owner creates it anew.
+/// The path of the socket on which the owner of the state folder accepts successors. Each owner replaces the
+/// socket of the previous one.
 pub(crate) fn socket_path(folder: &Path) -> PathBuf {
     folder.join(SOCKET_NAME)
 }
 
-/// Accepts processes that request to take over, until this process ends. The channel to each of them is
-/// sent to `events`, and so is what it sends later. The socket exists when this returns; while it cannot be created,
-/// the process serves without it, and a successor waits.
+/// Accepts processes that request to take over, until this process ends. The channel to each of them is sent
+/// to `events`, followed by the events of the channel. The socket exists when this function returns, unless
+/// it cannot be created: the process then serves without it while binding is retried, and a successor waits.
 pub(crate) fn listen_for_successors<E>(folder: &Path, events: Sender<E>)
 where
     E: From<PeerEvent> + From<PeerChannel> + Send + 'static,
 {
     let path = socket_path(folder);
     let first_attempt = bind(&path);
-    // Ends with the process.
+    // The task ends with the process.
     tokio::spawn(async move {
         let listener = bind_when_possible(&path, first_attempt).await;
         accept_successors(listener, events).await;
@@ -54,7 +55,7 @@
     }
 }
 
-/// Binds the socket after removing that of the previous owner.
+/// Removes the socket of the previous owner and binds a new one.
 fn bind(path: &Path) -> io::Result<UnixListener> {
     match fs::remove_file(path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => Err(error),
@@ -70,20 +71,20 @@
     loop {
         let stream = accept_next(&listener, "upgrade").await;
         last_id += 1;
-        // In a task of its own, so that a process that sends nothing does not delay the next one.
-        tokio::spawn(greet(last_id, FramedStream::new(stream), events.clone()));
+        // A separate task, so that a process that sends nothing does not delay the next one.
+        tokio::spawn(receive_take_over_request(last_id, FramedStream::new(stream), events.clone()));
     }
 }
 
 /// Waits for the request to take over, and sends the channel to `events`.
-async fn greet<E>(id: u64, mut stream: FramedStream, events: Sender<E>)
+async fn receive_take_over_request<E>(id: u64, mut stream: FramedStream, events: Sender<E>)
 where
     E: From<PeerEvent> + From<PeerChannel> + Send + 'static,
 {
-    let error = match timeout(GREETING_TIMEOUT, stream.reader.receive()).await {
+    let error = match timeout(TAKE_OVER_REQUEST_TIMEOUT, stream.reader.receive()).await {
         Ok(Ok(Frame::TakeOver)) => {
             let channel = PeerChannel::start(id, PeerRole::Successor, stream, events.clone());
-            // This fails only while the process ends.
+            // Sending fails only while this process ends.
             let _ = events.send(channel.into()).await;
             return;
         }
@@ -91,5 +92,5 @@
         Ok(Err(error)) => error,
         Err(_) => UpgradeError::Timeout,
     };
-    eprintln!("upgrade: {error}");
+    eprintln!("upgrade: {error}; closing the connection");
 }
