--- a/src/forwarder/upgrade/frames.rs
+++ b/src/forwarder/upgrade/frames.rs
@@ -1,7 +1,7 @@
 //! The frames that two processes exchange during an upgrade.
 //!
-//! The processes may run different versions of the program: the serialized names and forms stay as they are.
-//! A new field needs a default.
+//! The two processes may run different versions of the program. Therefore the serialized names and forms must
+//! not change, and a new field needs a default.
 
 use crate::forwarder::messages::admin_command::{AdminCommand, AdminReply};
 use crate::forwarder::messages::attempt::AttemptRef;
@@ -10,7 +10,7 @@
 use crate::interface::{LearnedState, LoadReport, Micros, Outcome};
 use serde::{Deserialize, Serialize};
 
-/// The number of a request that one process forwards to the other. The reply carries the same number.
+/// The number of a request that the predecessor forwards to the successor. The reply carries the same number.
 pub(crate) type RequestNumber = u64;
 
 /// A message from one process to the other.
@@ -18,55 +18,57 @@
 pub(crate) enum Frame {
     /// The successor requests to take over.
     TakeOver,
-    /// The predecessor hands over what the journal does not contain, and releases the lock.
+    /// The predecessor hands over the state that the journal does not contain, and then releases the lock.
     #[serde(rename = "Rest")]
     Handoff(Box<HandoffState>),
-    /// The successor holds the lock and has read the journal. It has written nothing to it yet.
+    /// The successor holds the lock and has read the journal. It has not written to the journal yet.
     Owned,
-    /// How many client connections the predecessor still has.
+    /// The number of client connections that the predecessor still has.
     #[serde(rename = "Clients")]
     ClientConnections(usize),
-    /// These attempts of the predecessor have ended.
+    /// Attempts of the predecessor have ended.
     #[serde(rename = "Ended")]
     AttemptsEnded(Vec<EndedAttempt>),
     /// The successor cancels an attempt of the predecessor.
     #[serde(rename = "CallOff")]
     CancelAttempt(AttemptRef),
-    /// The successor has given up the message of an attempt of the predecessor.
+    /// The message of an attempt of the predecessor has failed or was rejected: the predecessor abandons the
+    /// call.
     #[serde(rename = "GiveUp")]
     AbandonMessage(AttemptRef),
-    /// A client of the predecessor submitted a message.
+    /// A client that is connected to the predecessor submitted a message.
     #[serde(rename = "HandedIn")]
     ClientRequest(RequestNumber, ForwardedRequest),
-    /// The successor's reply to this client.
+    /// The successor's reply to a client that is connected to the predecessor.
     #[serde(rename = "Answered")]
     ClientReply(RequestNumber, ClientReply),
-    /// An operator sent a command to the predecessor.
+    /// An operator who is connected to the predecessor sent a command.
     #[serde(rename = "Asked")]
     AdminCommand(RequestNumber, AdminCommand),
-    /// The successor's reply to this operator.
+    /// The successor's reply to an operator who is connected to the predecessor.
     #[serde(rename = "Replied")]
     AdminReply(RequestNumber, AdminReply),
 }
 
-/// What the journal does not contain.
+/// The state that the journal does not contain.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct HandoffState {
-    /// Revision of the endpoint list; 0 if there is none.
+    /// Revision of the endpoint list; 0 if no list is known.
     #[serde(rename = "rev")]
     pub(crate) revision: u64,
-    /// The endpoint list, with the removed endpoints that still have a call in flight.
+    /// The endpoint list, including the removed endpoints that still have a call in flight.
     #[serde(rename = "targets")]
     pub(crate) endpoints: Vec<EndpointRecord>,
     /// The calls that the predecessor completes.
     pub(crate) calls: Vec<InFlightCall>,
-    /// How many client connections the predecessor still has.
+    /// The number of client connections that the predecessor still has.
     #[serde(rename = "clients")]
     pub(crate) client_connections: usize,
     /// What the decision module has learned.
     #[serde(rename = "learnt")]
     pub(crate) learned: Vec<LearnedEntry>,
-    /// Whether the predecessor acted on the endpoint list. Earlier versions do not tell.
+    /// Whether the endpoint list was fresh, so that the predecessor started calls. Earlier versions do not
+    /// send this field.
     #[serde(rename = "fresh", default, skip_serializing_if = "std::ops::Not::not")]
     pub(crate) list_is_fresh: bool,
 }
@@ -75,9 +77,10 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(from = "(Option<String>, LearnedState)", into = "(Option<String>, LearnedState)")]
 pub(crate) struct LearnedEntry {
-    /// The discovery id of the endpoint that the state names by number. Numbers differ between processes.
+    /// The discovery id of the endpoint that the state concerns, if any. The number of the endpoint in
+    /// `state` is valid only in the process that sent it.
     pub(crate) endpoint: Option<String>,
-    /// What was learned.
+    /// The learned state.
     pub(crate) state: LearnedState,
 }
 
@@ -93,15 +96,15 @@
     }
 }
 
-/// A call in flight.
+/// A call that the predecessor has in flight.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct InFlightCall {
     /// The discovery id of the endpoint.
     #[serde(rename = "target")]
     pub(crate) endpoint: String,
-    /// How long ago it was sent.
+    /// Time since the call was sent.
     pub(crate) age: Micros,
-    /// The attempts that were sent in it.
+    /// The attempts of the call.
     pub(crate) attempts: Vec<AttemptRef>,
 }
 
@@ -112,16 +115,17 @@
     pub(crate) message: String,
     /// Number of the attempt, from 0.
     pub(crate) attempt: usize,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub(crate) outcome: Outcome,
-    /// The message needs no further attempt and no further answer.
+    /// The message is complete: it needs no further attempt and no final reply.
     pub(crate) finished: bool,
-    /// What the endpoint reported about its rate limit.
+    /// What the endpoint reported about its rate limit, if it did.
     pub(crate) report: Option<LoadReport>,
-    /// How long the endpoint must not be called, if it sent a Retry-After.
+    /// The Retry-After of the endpoint, if it sent one: how long the endpoint must not be called.
     #[serde(rename = "wait")]
     pub(crate) retry_after: Option<Micros>,
-    /// Nothing of it was written.
+    /// The call was not written, or not completely: the attempt does not count towards the maximum of
+    /// attempts.
     #[serde(default)]
     pub(crate) unsent: bool,
 }
@@ -131,9 +135,9 @@
 pub(crate) struct ForwardedRequest {
     /// The id that the client gave to the message.
     pub(crate) id: String,
-    /// Name of its class.
+    /// Name of the message's class.
     pub(crate) class: String,
-    /// Name of its tenant.
+    /// Name of the message's tenant.
     pub(crate) tenant: Option<String>,
     /// The destination.
     #[serde(rename = "dest")]
