--- a/src/forwarder/upgrade/format_tests.rs
+++ b/src/forwarder/upgrade/format_tests.rs
@@ -1,5 +1,5 @@
-//! Holds the bytes of the frames of an upgrade: two versions of the program exchange them, so no frame may
-//! change unnoticed.
+//! Tests that the serialized frames of an upgrade match a fixture. Two versions of the program exchange them,
+//! so that a changed name or form would break an upgrade between these versions.
 
 use super::*;
 use crate::forwarder::messages::admin_command::AdminCommand;
@@ -9,7 +9,7 @@
 use crate::interface::{HealthState, LearnedState, LoadReport, Outcome};
 use std::time::Duration;
 
-/// Each frame as version 0.1.0 wrote it, one a line, in the order of [`every_frame`].
+/// The frames as version 0.1.0 wrote them, one per line, in the order of [`every_frame`].
 const FRAMES: &str = include_str!("../../../tests/fixtures/handover/frames.jsonl");
 
 fn endpoint(uid: &str, address: &str, state: LifecycleState) -> EndpointRecord {
@@ -162,7 +162,7 @@
     .into()
 }
 
-/// The frames of the fixture, in its order.
+/// The frames of the fixture, in the same order.
 fn every_frame() -> Vec<Frame> {
     let mut frames = vec![
         Frame::TakeOver,
@@ -184,40 +184,40 @@
     frames
 }
 
-fn write(frame: &Frame) -> String {
-    serde_json::to_string(frame).expect("a frame can be written")
+fn to_json(frame: &Frame) -> String {
+    serde_json::to_string(frame).expect("a frame can be serialized")
 }
 
-fn read(line: &str) -> Frame {
-    serde_json::from_str(line).unwrap_or_else(|e| panic!("{e}: {line}"))
+fn from_json(line: &str) -> Frame {
+    serde_json::from_str(line).unwrap_or_else(|error| panic!("{error}: {line}"))
 }
 
 #[test]
-fn each_frame_is_written_as_it_always_was() {
-    let written: Vec<String> = every_frame().iter().map(write).collect();
-    assert_eq!(written, FRAMES.lines().collect::<Vec<_>>());
+fn each_frame_is_serialized_as_in_the_fixture() {
+    let serialized: Vec<String> = every_frame().iter().map(to_json).collect();
+    assert_eq!(serialized, FRAMES.lines().collect::<Vec<_>>());
 }
 
 #[test]
 fn each_frame_of_an_earlier_version_is_read_completely() {
     for line in FRAMES.lines() {
-        assert_eq!(write(&read(line)), line);
+        assert_eq!(to_json(&from_json(line)), line);
     }
 }
 
 #[test]
 fn an_ended_attempt_without_unsent_is_read() {
-    let complete = write(&Frame::AttemptsEnded(vec![ended(Outcome::Reset)]));
-    let predecessor = complete.replace(",\"unsent\":false", "");
-    assert_ne!(predecessor, complete);
-    assert_eq!(write(&read(&predecessor)), complete);
+    let complete = to_json(&Frame::AttemptsEnded(vec![ended(Outcome::Reset)]));
+    let without_field = complete.replace(",\"unsent\":false", "");
+    assert_ne!(without_field, complete);
+    assert_eq!(to_json(&from_json(&without_field)), complete);
 }
 
 #[test]
 fn an_endpoint_without_a_capacity_hint_is_read() {
-    let complete = write(&handoff());
-    let predecessor = complete.replace(",\"capacity_hint\":1.5", "");
-    assert_ne!(predecessor, complete);
+    let complete = to_json(&handoff());
+    let without_field = complete.replace(",\"capacity_hint\":1.5", "");
+    assert_ne!(without_field, complete);
     let with_defaults = complete.replace("\"capacity_hint\":1.5", "\"capacity_hint\":1.0");
-    assert_eq!(write(&read(&predecessor)), with_defaults);
+    assert_eq!(to_json(&from_json(&without_field)), with_defaults);
 }
