--- a/src/forwarder/runtime/handover/handoff.rs
+++ b/src/forwarder/runtime/handover/handoff.rs
@@ -1,4 +1,4 @@
-//! The state that a process hands over to its successor beside the journal.
+//! Creates and restores the state that a process hands over to its successor in addition to the journal.
 
 use super::InheritedAttempts;
 use crate::forwarder::discovery::ListAge;
@@ -38,8 +38,8 @@
         calls.into_values().collect()
     }
 
-    /// What the decision module has learned. Endpoints are identified by their discovery ids, because the successor
-    /// numbers them anew.
+    /// What the decision module has learned. Endpoints are identified by their discovery ids, because their
+    /// numbers differ in the successor.
     fn learned_to_hand_over(&self, now: Micros) -> Vec<LearnedEntry> {
         let learned = self.decisions.learned(now).into_iter();
         let entry = |state: LearnedState| LearnedEntry {
@@ -49,8 +49,8 @@
         learned.map(entry).collect()
     }
 
-    /// Restores the state of the predecessor, and returns its attempts in flight. `open_messages`, the number of
-    /// messages in the journal, is only logged.
+    /// Restores the state of the predecessor, and returns the attempts that it has in flight.
+    /// `open_messages`, the number of messages in the journal, is only logged.
     pub(in crate::forwarder::runtime) fn restore_handoff_state(
         &mut self,
         now: Micros,
@@ -84,7 +84,7 @@
         inherited
     }
 
-    /// Restores what the predecessor had learned, unless it concerns an endpoint that is no longer known.
+    /// Restores a learned state of the predecessor, unless it concerns an endpoint that is no longer known.
     fn restore_learned(&mut self, now: Micros, uid: Option<&str>, state: LearnedState) {
         let endpoint = uid.and_then(|uid| self.endpoints.number_of(uid));
         if endpoint.is_some() == state.endpoint.is_some() {
--- a/src/forwarder/runtime/handover/inherited_attempts.rs
+++ b/src/forwarder/runtime/handover/inherited_attempts.rs
@@ -1,20 +1,21 @@
-//! The attempts that were in flight when the predecessor handed over.
+//! The attempts that the predecessor had in flight when it handed over.
 
 use crate::forwarder::messages::attempt::AttemptRef;
 use crate::interface::InheritedCall;
 use std::collections::BTreeMap;
 
-/// The attempts that the predecessor has in flight, and their calls.
+/// The attempts that the predecessor had in flight when it handed over, and their calls.
 #[derive(Default)]
 pub(in crate::forwarder::runtime) struct InheritedAttempts(BTreeMap<AttemptRef, InheritedCall>);
 
 impl InheritedAttempts {
-    /// Adds an attempt that travels in this call.
+    /// Adds an attempt of this call.
     pub(super) fn insert(&mut self, attempt: AttemptRef, call: InheritedCall) {
         self.0.insert(attempt, call);
     }
 
-    /// Takes the last attempt of a message that had `attempts` of them, if it is in flight.
+    /// Removes and returns the last attempt of a message that has had `attempts` attempts, if that attempt is
+    /// in flight.
     pub(in crate::forwarder::runtime) fn take_last(
         &mut self,
         message: &str,
@@ -24,7 +25,7 @@
         self.0.remove(&last)
     }
 
-    /// The attempts that were not taken, ordered by message and number.
+    /// The attempts that were not removed, ordered by message and number.
     pub(in crate::forwarder::runtime) fn into_remaining(
         self,
     ) -> impl Iterator<Item = (AttemptRef, InheritedCall)> {
--- a/src/forwarder/runtime/handover/mod.rs
+++ b/src/forwarder/runtime/handover/mod.rs
@@ -1,7 +1,8 @@
-//! The runtime's part in an upgrade. At any time exactly one process owns the journal and starts calls.
+//! The runtime's part in an upgrade. At most one process at a time owns the journal and starts calls.
 //!
-//! A process takes over from its predecessor when it starts ([`predecessor`]) and hands over to its successor at its
-//! end ([`successor`], [`forwarding`]). What the journal does not contain is passed in the [`handoff`] state.
+//! When a process starts, it takes over from its predecessor ([`predecessor`]). Before it ends, it hands over
+//! to its successor ([`successor`], [`forwarding`]). The [`handoff`] state contains what the journal does
+//! not.
 
 mod forwarded_request;
 mod forwarding;
