--- a/src/forwarder/runtime/handover/forwarded_request.rs
+++ b/src/forwarder/runtime/handover/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! Requests of clients as the predecessor forwards them to the successor.
+//! Encodes client requests for the successor and decodes those that the predecessor forwards.
 
 use crate::forwarder::messages::client_request::{ClientReply, ClientRequest};
 use crate::forwarder::upgrade::ForwardedRequest;
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// Encodes a request for the successor, and returns where its reply goes. Classes and tenants are passed by name:
-/// the successor may have other settings.
+/// Encodes a request for the successor, and returns the channel for the reply. Classes and tenants are passed
+/// by name, because the successor may have different settings.
 pub(super) fn encode(
     request: ClientRequest,
     names: &SettingNames,
@@ -27,8 +27,8 @@
     (forwarded, request.reply)
 }
 
-/// Decodes a request of the predecessor, whose reply is to be sent to `reply`. Returns `None` if it names an unknown
-/// class or tenant.
+/// Decodes a request that the predecessor forwarded. The reply will be sent to `reply`. Returns `None` if the
+/// class or the tenant is unknown, or if the payload is not valid Base64.
 pub(super) fn decode(
     forwarded: ForwardedRequest,
     names: &SettingNames,
--- a/src/forwarder/runtime/handover/pending_replies.rs
+++ b/src/forwarder/runtime/handover/pending_replies.rs
@@ -1,17 +1,17 @@
-//! Clients and operators of this process whose requests were forwarded to the successor.
+//! The clients and operators of this process that wait for replies of the successor to forwarded requests.
 
 use crate::forwarder::messages::admin_command::AdminReply;
 use crate::forwarder::messages::client_request::ClientReply;
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// Where the reply to a forwarded request goes.
+/// The recipient of the reply to a forwarded request.
 enum Recipient {
     Client(oneshot::Sender<ClientReply>),
     Operator(oneshot::Sender<AdminReply>),
 }
 
-/// Owns the recipients of replies that the successor has not sent yet, by the number of their request.
+/// Owns the recipients of the replies that the successor has not sent yet, by request number.
 #[derive(Default)]
 pub(in crate::forwarder::runtime) struct PendingReplies {
     recipients: HashMap<u64, Recipient>,
@@ -19,7 +19,7 @@
 }
 
 impl PendingReplies {
-    /// Whether no reply is awaited.
+    /// Whether no reply is outstanding.
     pub(in crate::forwarder::runtime) fn is_empty(&self) -> bool {
         self.recipients.is_empty()
     }
@@ -40,7 +40,7 @@
         self.last_request
     }
 
-    /// Sends a reply to the client of a request. The client may have disconnected.
+    /// Sends a reply to the client of a request, which may have disconnected.
     pub(super) fn reply_to_client(&mut self, request: u64, reply: ClientReply) {
         if let Some(Recipient::Client(client)) = self.recipients.remove(&request) {
             let _ = client.send(reply);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Drops all recipients: the successor has ended and sends no reply.
+    /// Drops all recipients, after the successor has ended.
     pub(super) fn clear(&mut self) {
         self.recipients.clear();
     }
