--- a/src/forwarder/runtime/handover/predecessor.rs
+++ b/src/forwarder/runtime/handover/predecessor.rs
@@ -1,5 +1,5 @@
-//! This process as the successor: it owns the journal while its predecessor still completes calls and serves
-//! clients.
+//! Handles the frames and the end of the predecessor of this process. This process is the successor: it owns
+//! the journal, while the predecessor completes its calls in flight and forwards the requests of its clients.
 
 use super::forwarded_request;
 use crate::forwarder::messages::admin_command::AdminCommand;
@@ -17,7 +17,7 @@
 use tokio::sync::oneshot;
 
 impl Runtime {
-    /// Handles a frame or the end of another process while this one owns the messages.
+    /// Handles a frame or the end of another process while this process owns the messages.
     pub(in crate::forwarder::runtime) fn handle_peer_event(&mut self, now: Micros, event: PeerEvent) {
         match (event.role, event.kind) {
             (PeerRole::Predecessor, PeerEventKind::FrameReceived(frame)) => {
@@ -27,7 +27,7 @@
             (PeerRole::Successor, PeerEventKind::ChannelClosed) => {
                 self.successor.withdraw_request(event.channel_id);
             }
-            // From a successor that has not taken over: its channel is no longer used.
+            // This process still owns the messages: the frame is outdated or premature, and is ignored.
             (PeerRole::Successor, PeerEventKind::FrameReceived(_)) => {}
         }
     }
@@ -38,7 +38,7 @@
             Frame::ClientConnections(count) => self.connection_counts.predecessor.store(count, Relaxed),
             Frame::ClientRequest(request, message) => self.submit_forwarded(now, request, message),
             Frame::AdminCommand(request, command) => self.execute_forwarded_command(now, request, command),
-            unexpected => eprintln!("upgrade: {}: {unexpected:?}", UpgradeError::UnexpectedFrame),
+            unexpected => eprintln!("upgrade: {}; ignored: {unexpected:?}", UpgradeError::UnexpectedFrame),
         }
     }
 
@@ -70,7 +70,7 @@
         self.end_attempt(now, address, result);
     }
 
-    /// Submits a message of a client that is connected to the predecessor. The reply is sent to the predecessor.
+    /// Submits a message of a client that is connected to the predecessor, which receives the reply.
     fn submit_forwarded(&mut self, now: Micros, request: u64, forwarded: ForwardedRequest) {
         let Some(predecessor) = self.predecessor.as_ref().map(PeerChannel::sender) else { return };
         let (reply, received) = oneshot::channel();
@@ -79,7 +79,7 @@
             let _ = predecessor.send(Frame::ClientReply(request, ClientReply::Rejected(None)));
             return;
         };
-        // Ends with the reply, which is sent or dropped with the message.
+        // The task ends when the reply is sent, or dropped together with the message.
         tokio::spawn(send_reply_to_predecessor(request, received, predecessor));
         self.submit(now, message);
     }
@@ -93,8 +93,8 @@
     }
 }
 
-/// Sends the reply to a forwarded message to the predecessor. If the message was dropped without a reply, it was not
-/// accepted.
+/// Sends the reply to a forwarded message to the predecessor. A message that was dropped without a reply was
+/// not accepted, and is rejected.
 async fn send_reply_to_predecessor(
     request: u64,
     reply: oneshot::Receiver<ClientReply>,
@@ -105,8 +105,8 @@
     let _ = predecessor.send(Frame::ClientReply(request, reply));
 }
 
-/// The ends of all attempts that the predecessor had in flight when it ended. Their outcome is one
-/// that does not count against the endpoints.
+/// The ends of all attempts that the predecessor had in flight when it ended. They may have been executed,
+/// but do not count against the health of the endpoints.
 pub(super) fn lost_attempts(calls: &CallsInFlight) -> Vec<EndedAttempt> {
     let lost = |AttemptRef { message, attempt }| EndedAttempt {
         message,
