--- a/src/forwarder/runtime/handover/successor.rs
+++ b/src/forwarder/runtime/handover/successor.rs
@@ -1,4 +1,5 @@
-//! This process as the predecessor: it hands over to its successor.
+//! Hands over to the successor of this process. This process is the predecessor: it sends its state, releases
+//! the lock and waits until the successor confirms its ownership.
 
 use crate::forwarder::event::RuntimeEvent;
 use crate::forwarder::runtime::Runtime;
@@ -7,21 +8,21 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A successor must confirm its ownership within this time after the hand-over. If it does not, the hand-over has
-/// failed once the lock is free.
+/// Time limit for a successor to confirm its ownership. After that, the handover has failed as soon as the
+/// lock is free.
 const OWNERSHIP_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time for writing the last frames before the process ends.
+/// How long writing the last frames may take when the process ends.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What this process knows about a newer process that takes over from it.
+/// How far a newer process has taken over from this one.
 pub(in crate::forwarder::runtime) enum Successor {
     /// No process has requested to take over.
     None,
-    /// It has requested to take over.
+    /// A process has requested to take over.
     Requested(PeerChannel),
-    /// It has received what the journal does not contain, and may take the lock.
+    /// The successor has been sent the state that the journal does not contain, and may acquire the lock.
     HandedOver(Handover),
-    /// It owns the journal and all messages.
+    /// The successor owns the journal and all messages.
     Owner(OwningSuccessor),
 }
 
@@ -35,7 +36,7 @@
         }
     }
 
-    /// Drops the events of an unconfirmed hand-over, so that the requests among them are rejected.
+    /// Drops the events of an unconfirmed handover, so that the requests among them are rejected.
     pub(in crate::forwarder::runtime) fn drop_deferred_events(&mut self) {
         if let Successor::HandedOver(handover) = self {
             handover.events.clear();
@@ -52,7 +53,7 @@
         matches!(self, Successor::Owner(owner) if owner.channel.id == channel_id)
     }
 
-    /// Drops the request to take over that arrived on this channel, which is closed.
+    /// Drops the request to take over that was received on this channel, after the channel was closed.
     pub(super) fn withdraw_request(&mut self, channel_id: u64) {
         if matches!(self, Successor::Requested(channel) if channel.id == channel_id) {
             *self = Successor::None;
@@ -60,12 +61,12 @@
     }
 }
 
-/// A hand-over that the successor has not confirmed. Meanwhile this process handles no events: if the hand-over
-/// fails, it handles them as if there had been none.
+/// A handover that the successor has not confirmed. Until then, this process defers all events: if the
+/// handover fails, it handles them as if there had been no handover.
 pub(in crate::forwarder::runtime) struct Handover {
     channel: PeerChannel,
     handed_over_at: Instant,
-    /// The events that have arrived since, in their order.
+    /// The events that have arrived since the handover, in their order.
     events: Vec<RuntimeEvent>,
 }
 
@@ -73,11 +74,11 @@
 pub(in crate::forwarder::runtime) struct OwningSuccessor {
     pub(super) channel: PeerChannel,
     since: Instant,
-    /// Whether it has ended since.
+    /// Whether the successor has ended.
     pub(super) ended: bool,
 }
 
-/// The state of an unconfirmed hand-over.
+/// The progress of an unconfirmed handover.
 #[derive(Default)]
 struct HandoverProgress {
     /// The successor has confirmed that it owns the messages.
@@ -89,12 +90,12 @@
 }
 
 impl Handover {
-    /// Defers events until the hand-over is confirmed or has failed.
+    /// Defers events until the handover is confirmed or has failed.
     pub(in crate::forwarder::runtime) fn defer(&mut self, events: Vec<RuntimeEvent>) {
         self.events.extend(events);
     }
 
-    /// Derives the progress from the deferred events, and drops those that only concern the hand-over.
+    /// Derives the progress from the deferred events, and removes those that only concern the handover.
     fn progress(&mut self) -> HandoverProgress {
         let mut progress = HandoverProgress {
             overdue: self.handed_over_at.elapsed() > OWNERSHIP_TIMEOUT,
@@ -132,11 +133,11 @@
     }
 
     fn hand_over(&mut self, channel: PeerChannel) {
-        // Attempts that are not written yet are made by the successor: the journal does not contain them.
+        // Attempts that are not written yet are not in the journal, so that the successor makes them.
         self.calls.withhold_all_writes();
         channel.send(Frame::Handoff(Box::new(self.handoff_state(self.clock.now()))));
         if let Err(error) = self.lock.release() {
-            eprintln!("upgrade: the lock cannot be released: {error}");
+            eprintln!("upgrade: the handover failed: {error}; this process continues");
             return;
         }
         self.idle_connections.close_all();
@@ -149,8 +150,8 @@
             Successor::HandedOver(Handover { channel, handed_over_at: Instant::now(), events: Vec::new() });
     }
 
-    /// Completes the hand-over if the successor has confirmed its ownership. If the successor has ended or has not
-    /// confirmed in time, and the lock is free, the hand-over has failed: this process is still the owner.
+    /// Completes the handover if the successor has confirmed its ownership. If the successor has ended or has
+    /// not confirmed in time, and the lock is free, the handover has failed: this process is still the owner.
     pub(in crate::forwarder::runtime) fn check_handover(&mut self) {
         let Successor::HandedOver(handover) = &mut self.successor else { return };
         let progress = handover.progress();
@@ -172,7 +173,8 @@
         }
     }
 
-    /// Releases what the successor owns, and forwards the deferred events to it.
+    /// Stops the tasks and removes the messages that now belong to the successor, and forwards the deferred
+    /// events to it.
     fn complete_handover(&mut self, Handover { channel, events, .. }: Handover) {
         self.successor = Successor::Owner(OwningSuccessor { channel, since: Instant::now(), ended: false });
         self.owner_tasks.drain(..).for_each(|task| task.abort());
