--- a/src/forwarder/server/listener.rs
+++ b/src/forwarder/server/listener.rs
@@ -18,16 +18,16 @@
 /// At capacity, a connection without an open request may be evicted after this time. A client that opened a
 /// connection to send a request has sent it by then.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(250);
-/// While two processes share the file descriptors of one, the connections of the predecessor reduce the capacity of
-/// the successor, but not below the capacity divided by this.
+/// During an upgrade, two processes share the file descriptors of one. The connections of the predecessor
+/// reduce the capacity of the successor, but not below the maximum number of connections divided by this.
 const MIN_CAPACITY_DIVISOR: usize = 4;
-/// The largest number of attempts to accept connections from the queue when the server stops. It exceeds the length of
+/// Maximum number of attempts to accept queued connections when the server stops. It exceeds the length of
 /// the queue.
 const MAX_ACCEPTS_AT_STOP: usize = 2048;
 
 /// A listener for clients.
 pub(crate) trait ClientListener: Accept<Connection = TcpStream> {
-    /// Accepts a connection that is already in the queue.
+    /// Accepts a connection that is already in the queue, without waiting.
     ///
     /// # Errors
     ///
@@ -37,16 +37,16 @@
 
 impl ClientListener for TcpListener {
     fn accept_queued(&self) -> io::Result<TcpStream> {
-        // The asynchronous runtime may not know yet that the queue has a connection, so the socket is used directly.
-        // It is non-blocking.
+        // Tokio may not have polled the queue yet, so the connection is accepted directly from the
+        // non-blocking socket.
         let (socket, _) = SockRef::from(self).accept()?;
         socket.set_nonblocking(true)?;
         TcpStream::from_std(socket.into())
     }
 }
 
-/// Serves clients, with at most `max_connections` at a time, until the phase is [`LifecyclePhase::Stopped`] and the
-/// last open request has its reply.
+/// Serves clients, with at most `max_connections` at a time, until the phase is [`LifecyclePhase::Stopped`]
+/// and the last open request has its reply.
 pub(crate) async fn serve<L: ClientListener>(
     listener: L,
     max_connections: usize,
@@ -95,8 +95,8 @@
             let current = *phase.borrow_and_update();
             match current {
                 LifecyclePhase::Stopped => return self.accept_all_queued(listener).await,
-                // The successor listens on the same socket and accepts the connections from then on. If it takes
-                // over, this process stops.
+                // The successor listens on the same socket and accepts the connections from then on. If it
+                // takes over, this process stops.
                 LifecyclePhase::HandingOver => {
                     let next = phase.wait_for(|phase| *phase != LifecyclePhase::HandingOver).await;
                     if next.is_ok_and(|next| *next == LifecyclePhase::Stopped) {
@@ -112,14 +112,15 @@
         }
     }
 
-    /// Accepts the connections that are left in the queue. Closing the listener would reset them, also those whose
-    /// request has arrived.
+    /// Accepts the connections that are left in the queue. Closing the listener would reset them, also those
+    /// whose request has arrived.
     async fn accept_all_queued<L: ClientListener>(&mut self, listener: &L) {
         for _ in 0..MAX_ACCEPTS_AT_STOP {
             match listener.accept_queued() {
                 Ok(stream) => self.add(stream).await,
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
-                // Of this connection, or of the process until one is closed.
+                // Either this connection has failed, or the process has no free descriptor until a connection
+                // closes.
                 Err(_) => yield_now().await,
             }
         }
@@ -129,8 +130,8 @@
     async fn add(&mut self, stream: TcpStream) {
         let capacity = self.capacity();
         self.serve_or_reject(stream, capacity);
-        // An evicted connection is closed by its task. Without yielding to it, a burst of new connections would
-        // exceed the bound.
+        // The task of an evicted connection closes it. Without yielding to that task, a burst of new
+        // connections would exceed the capacity.
         if self.open.len() >= capacity {
             yield_now().await;
         }
@@ -142,7 +143,8 @@
         shared.max(self.min_capacity()).max(1)
     }
 
-    /// The number of connections that a process may have even if the other one has taken all of them.
+    /// The number of connections that each process may have during an upgrade, however many the other one
+    /// has.
     fn min_capacity(&self) -> usize {
         self.max_connections / MIN_CAPACITY_DIVISOR
     }
@@ -151,8 +153,9 @@
         &self.handler.connection_counts
     }
 
-    /// Serves a new connection, at capacity in place of an idle one. A client never waits for capacity: otherwise
-    /// clients that open connections and send nothing would lock out the others.
+    /// Serves a new connection. At capacity, it evicts an idle connection first, or rejects the new one if
+    /// none is idle. Clients never wait for capacity: otherwise clients that open connections and send
+    /// nothing would block the others.
     fn serve_or_reject(&mut self, stream: TcpStream, capacity: usize) {
         self.remove_closed();
         if self.open.len() >= capacity && !self.evict_idle() {
@@ -174,8 +177,8 @@
         self.counts().own.store(self.tasks.len(), Relaxed);
     }
 
-    /// Closes one connection without an open request, and returns whether there was one. See [`EvictionCandidate`]
-    /// for the choice.
+    /// Closes one connection without an open request, and returns whether there was one. See
+    /// [`EvictionCandidate`] for the choice.
     fn evict_idle(&mut self) -> bool {
         let candidates = self.open.iter().enumerate().filter_map(|(position, connection)| {
             let activity = &connection.activity;
@@ -187,8 +190,8 @@
         true
     }
 
-    /// Waits until the last connection is closed. Meanwhile, connections that receive a request slowly are evicted
-    /// down to the capacity that a successor leaves to this process in any case.
+    /// Waits until the last connection is closed. Meanwhile, connections without an open request are evicted
+    /// down to [`Self::min_capacity`], because a request may arrive slowly on them.
     async fn close_all(mut self) {
         while !self.tasks.is_empty() {
             self.remove_closed();
--- a/src/forwarder/server/listener/tests.rs
+++ b/src/forwarder/server/listener/tests.rs
@@ -11,10 +11,10 @@
 const READINESS_CHECK: &str = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
 const SUBMISSION: &str = "POST /a HTTP/1.1\r\nHost: a\r\nReq-Id: m\r\nReq-Deadline-Ms: 9000\r\nEnvelope: dest=7\r\n\
                           Content-Length: 0\r\n\r\n";
-/// The time within which each reply must arrive.
+/// The time within which each step must complete.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A handler for a process in this phase, and what keeps its channels open.
+/// A handler for a process in this phase, and the other ends of its channels, which keep them open.
 fn handler(
     phase: LifecyclePhase,
 ) -> (Arc<RequestHandler>, watch::Sender<LifecyclePhase>, mpsc::Receiver<RuntimeEvent>) {
@@ -36,11 +36,11 @@
 
 async fn listener() -> (TcpListener, SocketAddr) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     (listener, address)
 }
 
-/// A listener that fails with these errors of the system before it accepts.
+/// A listener whose `accept` fails with each of these OS errors before it accepts a connection.
 struct FailingListener {
     errors: Mutex<VecDeque<i32>>,
     listener: TcpListener,
@@ -50,7 +50,7 @@
     type Connection = TcpStream;
 
     async fn accept(&self) -> io::Result<TcpStream> {
-        let error = self.errors.lock().expect("no test panics with it").pop_front();
+        let error = self.errors.lock().expect("no test panics while it holds the lock").pop_front();
         match error {
             Some(code) => Err(io::Error::from_raw_os_error(code)),
             None => Accept::accept(&self.listener).await,
@@ -64,17 +64,19 @@
     }
 }
 
-/// Opens a connection on which a request is sent.
+/// Opens a connection and sends a request on it.
 async fn request(address: SocketAddr, text: &str) -> TcpStream {
-    let mut client = TcpStream::connect(address).await.expect("it listens");
-    client.write_all(text.as_bytes()).await.expect("it is open");
+    let mut client = TcpStream::connect(address).await.expect("the server listens");
+    client.write_all(text.as_bytes()).await.expect("the connection is open");
     client
 }
 
-/// Reads the start of the reply.
+/// Reads the version and the status of the reply.
 async fn reply(mut client: TcpStream) -> io::Result<String> {
     let mut start = [0; 12];
-    timeout(REPLY_TIMEOUT, client.read_exact(&mut start)).await.expect("a reply or the end in time")?;
+    timeout(REPLY_TIMEOUT, client.read_exact(&mut start))
+        .await
+        .expect("a reply or the end of the stream in time")?;
     Ok(String::from_utf8_lossy(&start).into_owned())
 }
 
@@ -91,11 +93,11 @@
 }
 
 #[tokio::test]
-async fn the_server_outlives_the_errors_of_its_listener() {
+async fn the_server_survives_the_errors_of_its_listener() {
     let (handler, phase, _events) = handler(LifecyclePhase::Serving);
     let (listener, address) = listener().await;
-    // Those of single connections (`ECONNABORTED`, `EPROTO`, `EINTR`), and for about a second those of a process or a
-    // system that has used up its descriptors or memory (`EMFILE`, `ENFILE`, `ENOBUFS`, `ENOMEM`).
+    // Errors of single connections (`ECONNABORTED`, `EPROTO`, `EINTR`), then for about a second errors of a
+    // process or a system that has no free descriptor or memory (`EMFILE`, `ENFILE`, `ENOBUFS`, `ENOMEM`).
     let lasting =
         [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM].into_iter().flat_map(|code| [code; 400]);
     let errors =
@@ -106,15 +108,15 @@
         assert_eq!(reply(client).await.expect("a reply"), "HTTP/1.1 200");
     }
     phase.send_replace(LifecyclePhase::Stopped);
-    timeout(REPLY_TIMEOUT, server).await.expect("it stops").expect("no panic");
+    timeout(REPLY_TIMEOUT, server).await.expect("the server stops").expect("the server does not panic");
 }
 
 #[tokio::test]
-async fn a_submission_is_rejected_if_the_runtime_does_not_take_or_answer_it() {
+async fn a_submission_is_rejected_if_the_runtime_does_not_receive_it_or_reply() {
     let (handler, _phase, mut events) = handler(LifecyclePhase::Serving);
     let (listener, address) = listener().await;
     let _server = tokio::spawn(serve(listener, MAX_CONNECTIONS, handler));
-    // The first is taken, and the second waits in the queue, which is full then.
+    // The first submission is received, and the second one fills the queue.
     let queued = request(address, SUBMISSION).await;
     let event = events.recv().await.expect("the server runs");
     let waiting = request(address, SUBMISSION).await;
@@ -123,10 +125,10 @@
             yield_now().await;
         }
     };
-    timeout(REPLY_TIMEOUT, is_queued).await.expect("the second is queued");
+    timeout(REPLY_TIMEOUT, is_queued).await.expect("the second submission is queued");
     let overflow = request(address, SUBMISSION).await;
     assert_eq!(reply(overflow).await.expect("a reply"), "HTTP/1.1 503");
-    // The runtime drops the first without a reply, and ends with the second in its queue.
+    // The runtime drops the first submission without a reply, and ends with the second one in its queue.
     drop(event);
     assert_eq!(reply(queued).await.expect("a reply"), "HTTP/1.1 503");
     drop(events);
