--- a/src/forwarder/server/activity.rs
+++ b/src/forwarder/server/activity.rs
@@ -5,34 +5,34 @@
 use std::time::{Duration, Instant};
 use tokio::sync::Notify;
 
-/// The time that a connection may be idle, and the time that the head of a request may take from its first byte. For
-/// the first request on a connection, it starts when the connection is opened.
+/// The time that a connection may be idle, and the time that the head of a request may take from its first
+/// byte. For the first request on a connection, it starts when the connection is opened.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
-/// The time that a complete request may take from its first byte, or for the first request from when the connection
-/// is opened. A client whose request is not complete within 3 s must get a reply by then.
+/// The time that a complete request may take from its first byte, or for the first request from when the
+/// connection is opened. A client whose request is not complete within 3 s must get a reply by then.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2800);
 
 /// The activity of one connection.
 ///
-/// The task of the connection updates it; the accept loop reads it to find idle connections. Both run on the same
-/// thread, so that relaxed ordering suffices. Times are milliseconds since the connection was opened.
+/// The task of the connection updates it; the accept loop reads it to find idle connections. Both run on the
+/// same thread, so relaxed ordering suffices. Times are milliseconds since the connection was opened.
 pub(super) struct ConnectionActivity {
     opened_at: Instant,
     /// The complete head of a request has arrived on the connection.
     received_request: AtomicBool,
-    /// The time since which the connection has had no open request; [`ConnectionActivity::NOT_IDLE`] while it has
-    /// one.
+    /// The time since which the connection has had no open request; [`ConnectionActivity::NOT_IDLE`] while it
+    /// has one.
     idle_since_ms: AtomicU64,
-    /// The last head that was read is ambiguous about the length of its body.
+    /// A head was read that is ambiguous about the length of its body.
     ambiguous_framing: AtomicBool,
     /// The bytes read so far end within a request.
     reading_request: AtomicBool,
-    /// When the first byte of that request arrived; 0 for the first request.
+    /// When the first byte of the current request arrived; 0 for the first request on the connection.
     request_started_ms: AtomicU64,
     /// This side is closing the connection, which had no open request.
     closing_idle: AtomicBool,
     /// Notified once the client has closed its sending side while a request was open.
-    end_of_requests: Notify,
+    half_closed: Notify,
 }
 
 impl ConnectionActivity {
@@ -48,7 +48,7 @@
             reading_request: AtomicBool::new(false),
             request_started_ms: AtomicU64::new(0),
             closing_idle: AtomicBool::new(false),
-            end_of_requests: Notify::new(),
+            half_closed: Notify::new(),
         }
     }
 
@@ -58,7 +58,7 @@
         self.idle_since_ms.store(Self::NOT_IDLE, Relaxed);
     }
 
-    /// The reply to the open request is ready.
+    /// The reply to the open request is ready: the request is no longer open.
     pub(super) fn end_request(&self) {
         let now = self.age_ms();
         // Bytes of the next request that have already arrived had to wait for this request.
@@ -66,7 +66,8 @@
         self.idle_since_ms.store(now, Relaxed);
     }
 
-    /// Bytes have arrived. `within_request` tells whether the last of them belongs to a request that is not complete.
+    /// Bytes have arrived. `within_request` is set if the last of them belongs to a request that is not
+    /// complete.
     pub(super) fn record_bytes(&self, within_request: bool) {
         let was_reading = self.reading_request.swap(within_request, Relaxed);
         if within_request && !was_reading && self.has_received_request() {
@@ -84,7 +85,7 @@
         self.ambiguous_framing.load(Relaxed)
     }
 
-    /// This side closes the connection, because it has been idle for as long as it may.
+    /// This side closes the connection, because it has been idle for as long as is permitted.
     pub(super) fn begin_idle_close(&self) {
         self.closing_idle.store(true, Relaxed);
     }
@@ -100,14 +101,14 @@
     }
 
     /// The client has closed its sending side while a request was open.
-    pub(super) fn record_end_of_requests(&self) {
-        self.end_of_requests.notify_one();
+    pub(super) fn record_half_close(&self) {
+        self.half_closed.notify_one();
     }
 
-    /// Completes once the client has closed its sending side while a request was open. It may have disconnected, or
-    /// may still wait for the reply.
-    pub(super) async fn end_of_requests(&self) {
-        self.end_of_requests.notified().await;
+    /// Completes once the client has closed its sending side while a request was open. It may have
+    /// disconnected, or may still wait for the reply.
+    pub(super) async fn half_closed(&self) {
+        self.half_closed.notified().await;
     }
 
     /// Whether the complete head of a request has ever arrived.
--- a/src/forwarder/server/connection.rs
+++ b/src/forwarder/server/connection.rs
@@ -15,15 +15,16 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// The largest number of unread bytes that a connection buffers. It is small, because many slow clients may fill
+/// Maximum number of unread bytes that a connection buffers. It is small, because many slow clients may fill
 /// their buffers at the same time.
 const MAX_BUFFER_BYTES: usize = 16 << 10;
-/// The time that closing an idle connection may take. It exceeds that of the lingering close.
+/// The time that closing an idle connection may take. It exceeds the timeout of the lingering close.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often connections are checked for being idle while the process drains or stops.
+/// The interval at which connections are checked for being idle while the process drains or stops.
 pub(super) const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Serves the requests of one client until it closes the connection, the connection expires or the process ends.
+/// Serves the requests of one client until it closes the connection, the connection expires or the process
+/// ends.
 pub(super) async fn serve_connection(
     stream: TcpStream,
     handler: Arc<RequestHandler>,
@@ -35,35 +36,35 @@
     let service_activity = activity.clone();
     let service = service_fn(move |request| {
         let (handler, activity) = (handler.clone(), service_activity.clone());
-        // Before the future is polled: the server looks for the end of the connection first.
+        // Recorded before the future is polled, because hyper checks for the end of the connection first.
         activity.begin_request();
         async move { Ok::<_, Infallible>(handler.handle(request, &activity).await) }
     });
     let mut server = http1::Builder::new();
-    // Hyper's own timeout for the head starts when the connection becomes idle, so that it could end during a
+    // Hyper's own timeout for the head starts when the connection becomes idle, so it could expire during a
     // request. `expiry` replaces it.
     server.timer(TokioTimer::new()).header_read_timeout(None).max_buf_size(MAX_BUFFER_BYTES);
     let mut connection = pin!(server.serve_connection(TokioIo::new(stream), service));
-    // An error concerns this client only, and closing the connection handles it.
+    // An error affects only this client, and closing the connection handles it.
     tokio::select! {
-        // First, so that a request that has just arrived keeps the connection from being closed.
+        // The connection is polled first, so that a request that has just arrived keeps it open.
         biased;
         _ = connection.as_mut() => return,
         () = idle_during_shutdown(&mut phase, &activity) => {}
         () = expiry(&activity) => {}
     }
     activity.begin_idle_close();
-    // An incomplete head that does not go on is not a request and gets no reply.
+    // A head that was not completed in time is not a request and gets no reply.
     if activity.is_within_request() {
         return;
     }
     connection.as_mut().graceful_shutdown();
-    // The connection may have replies that its client does not read.
+    // The time is bounded, because the client may not read the replies that are left.
     let _ = timeout(CLOSE_TIMEOUT, connection).await;
 }
 
-/// Completes when the connection should be closed because the process drains or stops: once it has been idle for as
-/// long as the phase demands. A request that has started to arrive is completed first.
+/// Completes when the connection should be closed because the process drains or stops: once it has been idle
+/// for as long as the phase demands. A request that has started to arrive is completed first.
 async fn idle_during_shutdown(phase: &mut watch::Receiver<LifecyclePhase>, activity: &ConnectionActivity) {
     loop {
         // The runtime, which holds the sender, lives as long as the process.
--- a/src/forwarder/server/framing/mod.rs
+++ b/src/forwarder/server/framing/mod.rs
@@ -1,16 +1,16 @@
 //! Scans the heads of requests ahead of the HTTP parser for ambiguous body lengths.
 //!
-//! A head that states the length of its body more than once may be read differently by a proxy and by this server, so
-//! that bytes of the body could be taken for another request (request smuggling). This module only detects such
-//! heads: the HTTP parser and the request handler parse and validate requests.
+//! A proxy and this server may interpret a head differently if it states the length of its body more than
+//! once. Bytes of the body could then be parsed as another request (request smuggling). This module only
+//! detects such heads: the HTTP parser and the request handler parse and validate requests.
 
-/// The longest start of a header line that is buffered: enough for a header name and a length.
+/// Maximum number of bytes of a header line that are buffered: enough for a header name and a length.
 const MAX_LINE_BYTES: usize = 64;
 
 /// Scans the bytes of a connection and follows the boundaries of its requests.
 #[derive(Debug, Default)]
 pub(super) struct FramingScanner {
-    /// The start of the current line.
+    /// The current line, of which only the first [`MAX_LINE_BYTES`] are buffered.
     line: Vec<u8>,
     /// The number of `Content-Length` headers in this head.
     content_length_headers: u32,
@@ -22,14 +22,15 @@
     has_transfer_encoding: bool,
     /// Bytes of the current body that have not arrived yet.
     remaining_body: u64,
-    /// It is unknown where this request ends. The connection is closed after it, so that no other request follows.
+    /// The end of the current request is unknown. The server closes the connection after it, so no other
+    /// request follows and nothing more is scanned.
     is_boundary_unknown: bool,
 }
 
 impl FramingScanner {
-    /// Consumes the next bytes. Returns whether they complete a head with several `Content-Length` headers, or with
-    /// `Content-Length` and `Transfer-Encoding`.
-    pub(super) fn read(&mut self, mut bytes: &[u8]) -> bool {
+    /// Consumes the next bytes. Returns whether they complete a head with several `Content-Length` headers,
+    /// or with `Content-Length` and `Transfer-Encoding`.
+    pub(super) fn scan(&mut self, mut bytes: &[u8]) -> bool {
         let mut ambiguous = false;
         while !self.is_boundary_unknown && !bytes.is_empty() {
             if self.remaining_body > 0 {
@@ -58,7 +59,7 @@
         &bytes[skipped..]
     }
 
-    /// Appends to the current line, of which only the first [`MAX_LINE_BYTES`] are buffered.
+    /// Appends to the current line, up to [`MAX_LINE_BYTES`].
     fn extend_line(&mut self, part: &[u8]) {
         let free = MAX_LINE_BYTES - self.line.len();
         self.line.extend_from_slice(&part[..part.len().min(free)]);
@@ -77,7 +78,8 @@
         self.in_head && self.end_head()
     }
 
-    /// Returns whether the head that is now complete is ambiguous.
+    /// Resets the scanner for the body of the head that is now complete. Returns whether the head is
+    /// ambiguous.
     fn end_head(&mut self) -> bool {
         let has_content_length = self.content_length_headers > 0;
         let ambiguous = self.content_length_headers > 1 || (has_content_length && self.has_transfer_encoding);
@@ -95,7 +97,7 @@
         let (name, value) = (line[..colon].trim_ascii(), line[colon + 1..].trim_ascii());
         if name.eq_ignore_ascii_case(b"content-length") {
             self.content_length_headers += 1;
-            // The parser rejects a value that is not a number.
+            // The HTTP parser rejects a value that is not a number.
             self.content_length = str::from_utf8(value).ok().and_then(|text| text.parse().ok()).unwrap_or(0);
         } else if name.eq_ignore_ascii_case(b"transfer-encoding") {
             self.has_transfer_encoding = true;
--- a/src/forwarder/server/framing/tests.rs
+++ b/src/forwarder/server/framing/tests.rs
@@ -2,9 +2,9 @@
 
 /// Whether the scanner finds an ambiguous head, however the bytes are split.
 fn is_ambiguous(text: &str) -> bool {
-    let at_once = FramingScanner::default().read(text.as_bytes());
+    let at_once = FramingScanner::default().scan(text.as_bytes());
     let mut scanner = FramingScanner::default();
-    let bytewise = text.as_bytes().chunks(1).filter(|byte| scanner.read(byte)).count();
+    let bytewise = text.as_bytes().chunks(1).filter(|byte| scanner.scan(byte)).count();
     assert_eq!(at_once, bytewise > 0, "{text:?}");
     at_once
 }
--- a/src/forwarder/server/handler.rs
+++ b/src/forwarder/server/handler.rs
@@ -19,7 +19,7 @@
 
 /// The path of the readiness check.
 const READINESS_PATH: &str = "/-/ready";
-/// The bytes of a body that one permit of [`RequestHandler::body_memory`] allows.
+/// Number of bytes of a body for each permit of [`RequestHandler::body_memory`].
 const BYTES_PER_BODY_PERMIT: u64 = 1024;
 
 /// The handler of all client requests, shared by all connections.
@@ -34,7 +34,8 @@
     pub(crate) phase: watch::Receiver<LifecyclePhase>,
     /// The numbers of connections, shared with the runtime.
     pub(crate) connection_counts: Arc<ConnectionCounts>,
-    /// Bounds the memory for message bodies until the reply to their request: one permit for each KiB.
+    /// Bounds the memory of message bodies from before they are read until the reply: one permit for each
+    /// KiB.
     pub(crate) body_memory: Semaphore,
 }
 
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Validates a message, submits it to the runtime and waits for the reply. The body may take `body_timeout` to
-    /// arrive.
+    /// Validates a message, submits it to the runtime and waits for the reply. The body may take
+    /// `body_timeout` to arrive.
     async fn submit(
         &self,
         request: Request<Incoming>,
@@ -102,7 +103,7 @@
         // Released when this function returns the reply.
         let Ok(_body_memory) = self.body_memory.try_acquire_many(permits) else {
             let mut reply = encode_reply(ClientReply::Rejected(Some(OVERLOAD_RETRY_AFTER)));
-            // The body is not read, so that no other request can follow it.
+            // The body is not read, so no other request can follow on this connection.
             close_after(&mut reply);
             return Ok(reply);
         };
@@ -133,22 +134,22 @@
             deadline: Instant::now() + headers.remaining,
             reply,
         };
-        // A full queue means that the runtime is overloaded. The message was not accepted, so that it may be
-        // submitted again.
+        // A full queue means that the runtime is overloaded. The message was not accepted, so the client may
+        // submit it again.
         if self.runtime.try_send(RuntimeEvent::ClientRequest(message)).is_err() {
             return ClientReply::Rejected(Some(OVERLOAD_RETRY_AFTER));
         }
         tokio::select! {
             biased;
             reply = &mut received_reply => reply.unwrap_or(ClientReply::Rejected(None)),
-            () = activity.end_of_requests() => withdraw(received_reply),
+            () = activity.half_closed() => withdraw(received_reply),
         }
     }
 }
 
-/// Withdraws a message whose client has closed its sending side: it has probably disconnected, so that the message is
-/// not worth accepting. The reply is for a client that still waits. A message without a reply is never accepted once
-/// the channel is closed.
+/// Withdraws a message whose client has closed its sending side: the client has probably disconnected, so the
+/// message is not worth accepting. Returns the reply for a client that still waits. The runtime never accepts
+/// a message whose reply channel was closed before the reply.
 fn withdraw(mut received_reply: oneshot::Receiver<ClientReply>) -> ClientReply {
     received_reply.close();
     received_reply.try_recv().unwrap_or(ClientReply::Rejected(None))
--- a/src/forwarder/server/stream.rs
+++ b/src/forwarder/server/stream.rs
@@ -1,5 +1,5 @@
-//! The stream of a client connection. It checks the framing of requests, and keeps reading for a while after the
-//! close, so that the client receives the last reply.
+//! The stream of a client connection. It checks the framing of requests, and keeps reading for a while after
+//! the close, so that the client receives the last reply.
 
 use super::activity::ConnectionActivity;
 use super::framing::FramingScanner;
@@ -14,7 +14,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Sleep, sleep};
 
-/// The time that a closed connection continues to read, unless the client closes it earlier.
+/// How long a connection that this side has closed is still read, unless the client closes it earlier.
 const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// A client's stream, which examines the head of each request before the HTTP parser does. The parser hides a
@@ -29,16 +29,16 @@
 
 /// The end of a connection that this side has closed and the client has not.
 ///
-/// Closing a socket with unread bytes resets the connection, and the reset may discard the last reply before the
-/// client has read it. So bytes are read and discarded until the client closes its side, a timeout, or a number of
-/// bytes.
+/// Closing a socket with unread bytes resets the connection, and the reset may discard the last reply before
+/// the client has read it. So bytes are read and discarded until the client closes its side,
+/// [`LINGERING_CLOSE_TIMEOUT`] expires or [`MAX_DISCARDED_BYTES`] have been read.
 struct LingeringClose {
     timeout: Pin<Box<Sleep>>,
     remaining_bytes: usize,
 }
 
 impl ClientStream {
-    /// Wraps `stream` and records in `activity` what arrives.
+    /// Wraps `stream` and records the arriving bytes in `activity`.
     pub(super) fn new(stream: TcpStream, activity: Arc<ConnectionActivity>) -> Self {
         ClientStream { stream, scanner: FramingScanner::default(), activity, lingering_close: None }
     }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Discards what arrives, and is ready once the client has closed its side or a limit is reached.
+    /// Discards incoming bytes until the client has closed its side or a limit is reached.
     fn poll_discard(&mut self, stream: &mut TcpStream, context: &mut Context<'_>) -> Poll<()> {
         while self.timeout.as_mut().poll(context).is_pending() {
             let mut discarded = [0; DISCARD_BUFFER_BYTES];
@@ -69,8 +69,8 @@
 }
 
 impl Drop for ClientStream {
-    /// Rejects a request that has begun to arrive on a connection without an open one. The connection of an open
-    /// request is only dropped at the end of the process, when the runtime has replied.
+    /// Rejects a request that has begun to arrive on a connection without an open one. The connection of an
+    /// open request is only dropped at the end of the process, when the runtime has replied.
     fn drop(&mut self) {
         if self.lingering_close.is_some() || self.activity.idle_time().is_none() {
             return;
@@ -92,15 +92,16 @@
         let ClientStream { stream, scanner, activity, .. } = &mut *self;
         let filled_before = buffer.filled().len();
         let poll = poll_read_observed(stream, context, buffer, |newly_read| {
-            if scanner.read(newly_read) {
+            if scanner.scan(newly_read) {
                 activity.record_ambiguous_framing();
             }
             activity.record_bytes(scanner.is_within_request());
         });
-        let is_end = matches!(poll, Poll::Ready(Ok(()))) && buffer.filled().len() == filled_before;
-        if is_end && activity.is_awaiting_reply() {
-            // The HTTP server would close the connection without a reply. It reads again after the reply.
-            activity.record_end_of_requests();
+        let is_end_of_stream = matches!(poll, Poll::Ready(Ok(()))) && buffer.filled().len() == filled_before;
+        if is_end_of_stream && activity.is_awaiting_reply() {
+            // At the end of the stream, the HTTP server would close the connection without a reply. It reads
+            // again after the reply.
+            activity.record_half_close();
             return Poll::Pending;
         }
         poll
@@ -120,7 +121,7 @@
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    /// Closes this side. What arrives from now on is discarded and never parsed as a request.
+    /// Closes this side. Bytes that arrive from then on are discarded and never parsed as a request.
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         let ClientStream { stream, activity, lingering_close, .. } = &mut *self;
         if lingering_close.is_none() {
