--- a/src/forwarder/server/rejection.rs
+++ b/src/forwarder/server/rejection.rs
@@ -1,21 +1,21 @@
-//! Rejecting a request without the HTTP server, directly on the socket and without waiting.
+//! Rejects requests directly on the socket, without the HTTP server and without waiting.
 //!
-//! The asynchronous runtime only learns of bytes that have arrived when it polls the operating system the next time.
-//! Right before a connection is closed, that would be too late: a request whose last byte has arrived must not be left
-//! without an answer. So these functions ask the operating system.
+//! Tokio learns of new bytes only when it polls the operating system again. Right before a connection is
+//! closed, that is too late: a request whose last byte has arrived must get a reply. So these functions read
+//! from the socket directly.
 
-use super::reply::NO_CAPACITY_RESPONSE;
+use super::reply::RAW_REJECTION;
 use socket2::SockRef;
 use std::io::{Read, Write};
 use std::net::Shutdown;
 use tokio::net::TcpStream;
 
-/// The largest number of bytes that are read and discarded at the close of a connection.
+/// Maximum number of bytes that are read and discarded at the close of a connection.
 pub(super) const MAX_DISCARDED_BYTES: usize = 256 << 10;
-/// The size of the buffer for bytes that are read and discarded.
+/// Size of the buffer for bytes that are read and discarded.
 pub(super) const DISCARD_BUFFER_BYTES: usize = 4096;
 
-/// Rejects what the client has sent and closes the sending side.
+/// Discards what the client has sent, writes a rejection and closes the sending side.
 pub(super) fn reject(stream: &TcpStream) {
     discard_unread(stream);
     write_rejection(stream);
@@ -23,16 +23,16 @@
     let _ = SockRef::from(stream).shutdown(Shutdown::Write);
 }
 
-/// Rejects what the client has sent since the last read; does nothing if it has sent nothing. The caller closes the
-/// connection.
+/// Discards what the client has sent since the last read and writes a rejection; does nothing if it has sent
+/// nothing. The caller closes the connection.
 pub(super) fn reject_unread(stream: &TcpStream) {
     if discard_unread(stream) > 0 {
         write_rejection(stream);
     }
 }
 
-/// Discards what has arrived, and returns its length. Closing a socket with unread bytes would reset the connection and
-/// discard the response.
+/// Discards unread bytes and returns their number. Closing a socket with unread bytes would reset the
+/// connection and discard the response.
 fn discard_unread(stream: &TcpStream) -> usize {
     let socket = SockRef::from(stream);
     let mut discarded_bytes = 0;
@@ -40,7 +40,7 @@
     while discarded_bytes < MAX_DISCARDED_BYTES {
         match (&*socket).read(&mut buffer) {
             Ok(length) if length > 0 => discarded_bytes += length,
-            // Nothing is left. After an error the response may be lost, and there is nothing else to do.
+            // Nothing is left to read, or reading failed. After an error the response may be lost.
             _ => break,
         }
     }
@@ -49,5 +49,5 @@
 
 fn write_rejection(stream: &TcpStream) {
     // The response fits into the buffer of the socket, unless the client has stopped reading its replies.
-    let _ = (&*SockRef::from(stream)).write(NO_CAPACITY_RESPONSE);
+    let _ = (&*SockRef::from(stream)).write(RAW_REJECTION);
 }
--- a/src/forwarder/server/reply/format_tests.rs
+++ b/src/forwarder/server/reply/format_tests.rs
@@ -32,5 +32,5 @@
 #[test]
 fn client_that_exceeds_the_capacity_receives_a_503_with_retry_after() {
     let expected = "HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    assert_eq!(NO_CAPACITY_RESPONSE, expected.as_bytes());
+    assert_eq!(RAW_REJECTION, expected.as_bytes());
 }
--- a/src/forwarder/server/reply/mod.rs
+++ b/src/forwarder/server/reply/mod.rs
@@ -7,11 +7,12 @@
 use hyper::{Response, StatusCode};
 use std::time::Duration;
 
-/// How long a client should wait before it submits a message again that was rejected because the forwarder is
+/// How long a client should wait before it resubmits a message that was rejected because the forwarder is
 /// overloaded.
 pub(super) const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// The complete response to a client whose connection exceeds the capacity.
-pub(super) const NO_CAPACITY_RESPONSE: &[u8] =
+/// The complete response that is written directly to the socket if a connection exceeds the capacity, or is
+/// closed while the client has sent more.
+pub(super) const RAW_REJECTION: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nRetry-After: 1\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
 /// An HTTP response to a client. Its body is always empty.
@@ -34,12 +35,12 @@
     }
 }
 
-/// Demands that the client closes the connection after this response.
+/// Marks the response as the last one on its connection.
 pub(super) fn close_after(reply: &mut HttpReply) {
     reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-/// A rejection. `Retry-After` is in seconds with three decimals.
+/// The response for a rejected message. `Retry-After` is in seconds with three decimals.
 fn rejection(retry_after: Option<Duration>) -> HttpReply {
     let mut reply = status_reply(StatusCode::SERVICE_UNAVAILABLE);
     // A number in decimal notation is always a valid header value.
