--- a/src/forwarder/server/lifecycle.rs
+++ b/src/forwarder/server/lifecycle.rs
@@ -1,10 +1,10 @@
-//! The phases of the process, and the connections that two processes share during an upgrade.
+//! The phases of the process, and the numbers of client connections that processes count during an upgrade.
 
 use std::sync::atomic::AtomicUsize;
 use std::time::Duration;
 
-/// In [`LifecyclePhase::Draining`], connections without an open request are closed after this time. By then the
-/// load balancer has noticed that the process is not ready, and requests on their way have arrived.
+/// How long a connection has no open request before it is closed in [`LifecyclePhase::Draining`]. By then the
+/// load balancer has noticed that the process is not ready, and requests in transit have arrived.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The phases of the process, from normal operation to its end.
@@ -12,14 +12,14 @@
 pub(crate) enum LifecyclePhase {
     /// Normal operation.
     Serving,
-    /// The readiness check fails, so that the load balancer sends clients to other processes. Requests are still
-    /// served.
+    /// The readiness check fails, so that the load balancer sends clients to other processes. Requests are
+    /// still served.
     Draining,
     /// Each reply is the last on its connection.
     Closing,
     /// A successor takes over. This process accepts no connections and closes idle ones.
     HandingOver,
-    /// No new connections and no new requests.
+    /// The process accepts no new connections and no new requests.
     Stopped,
 }
 
@@ -34,8 +34,8 @@
     }
 }
 
-/// The numbers of open client connections. During an upgrade, two processes together may open as many file
-/// descriptors as one otherwise, so that the connections of both count towards the capacity.
+/// The numbers of open client connections. During an upgrade, two processes share the file descriptors of
+/// one, so the connections of both count towards the capacity.
 #[derive(Default)]
 pub(crate) struct ConnectionCounts {
     /// Connections to this process.
