--- a/src/forwarder/server/request/mod.rs
+++ b/src/forwarder/server/request/mod.rs
@@ -1,4 +1,4 @@
-//! Validating the requests of clients.
+//! Parses and validates the requests of clients.
 
 use crate::settings_reader::NameList;
 use bytes::Bytes;
@@ -8,11 +8,12 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The longest body of a message.
+/// Maximum length of the body of a message.
 const MAX_BODY_BYTES: u64 = 64 << 10;
-/// The longest id, key or tenant name. It is bounded because records of the journal contain them.
+/// Maximum length of an id, a key or a tenant name. It is bounded because records of the journal contain
+/// them.
 const MAX_NAME_BYTES: usize = 128;
-/// The longest time that a client may wait for a message. The bound keeps sums of times from overflowing.
+/// Maximum time until the deadline of a message. The bound keeps sums of times from overflowing.
 const MAX_DEADLINE_MS: u64 = 24 * 3600 * 1000;
 
 const ID_HEADER: &str = "req-id";
@@ -29,17 +30,17 @@
     /// The request has several body lengths, or a length and a transfer encoding.
     #[error("ambiguous body length")]
     AmbiguousFraming,
-    /// The body has a transfer encoding. Only bodies with a length are accepted, so that it is always clear where the
-    /// next request starts.
+    /// The body has a transfer encoding. Only bodies with a length are accepted, so that it is always clear
+    /// where the next request starts.
     #[error("no body length")]
     LengthRequired,
-    /// The path is unknown, or does not support this method.
+    /// The path is unknown or does not support the method.
     #[error("unknown path or method")]
     NotFound,
     /// The path names no class.
     #[error("unknown class")]
     UnknownClass,
-    /// The header occurs more than once: different readers could use different values.
+    /// The header occurs more than once: different parsers could use different values.
     #[error("repeated header {0}")]
     RepeatedHeader(&'static str),
     /// The header is missing, or its value is not permitted.
@@ -73,7 +74,7 @@
     }
 }
 
-/// The index of the class that the path names. The path has one segment.
+/// The index of the class that the path names. The path must have exactly one segment.
 pub(super) fn parse_class(path: &str, classes: &NameList) -> Result<usize, RequestRejection> {
     let class = path.trim_start_matches('/');
     if class.contains('/') {
@@ -86,19 +87,19 @@
 pub(super) struct MessageHeaders {
     /// The id that the client gave to the message.
     pub(super) id: String,
-    /// The index of its tenant.
+    /// Index of the message's tenant.
     pub(super) tenant: Option<usize>,
-    /// Its destination.
+    /// The destination of the message.
     pub(super) destination: u64,
-    /// Its idempotency key.
+    /// The idempotency key of the message.
     pub(super) key: Option<String>,
     /// The time until the message expires. The client stops waiting then.
     pub(super) remaining: Duration,
 }
 
 impl MessageHeaders {
-    /// Parses the headers of a message. `tenants` are the names of the tenants, and `key_required` tells whether its
-    /// class demands an idempotency key.
+    /// Parses the headers of a message. `tenants` are the names of the tenants; `key_required` is set if the
+    /// class of the message requires an idempotency key.
     pub(super) fn parse(
         headers: &HeaderMap,
         tenants: &NameList,
@@ -121,7 +122,7 @@
     repeated.map_or(Ok(()), |name| Err(RequestRejection::RepeatedHeader(name)))
 }
 
-/// A missing header reads as an empty one.
+/// The trimmed value of a header. A missing header counts as an empty one.
 fn header_text<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, RequestRejection> {
     let Some(value) = headers.get(name) else { return Ok("") };
     value.to_str().map(str::trim).map_err(|_| RequestRejection::InvalidHeader(name))
--- a/src/forwarder/server/request/tests.rs
+++ b/src/forwarder/server/request/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use hyper::header::HeaderValue;
 
-const VALID: [(&str, &str); 5] = [
+const VALID_HEADERS: [(&str, &str); 5] = [
     (ID_HEADER, "m-1"),
     (TENANT_HEADER, "tenant-b"),
     (DEADLINE_HEADER, "1500"),
@@ -17,32 +17,32 @@
     headers
 }
 
-fn names(names: &[&str]) -> NameList {
+fn name_list(names: &[&str]) -> NameList {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-/// The valid headers, but with this value in place of that of the header `name`.
-fn with(name: &'static str, value: &str) -> HeaderMap {
-    let mut headers = headers(&VALID);
+/// The valid headers, with the value of the header `name` replaced.
+fn valid_headers_with(name: &'static str, value: &str) -> HeaderMap {
+    let mut headers = headers(&VALID_HEADERS);
     headers.insert(name, HeaderValue::from_str(value).expect("a header value"));
     headers
 }
 
 fn parse(headers: &HeaderMap) -> Result<MessageHeaders, RequestRejection> {
-    MessageHeaders::parse(headers, &names(&["tenant-a", "tenant-b"]), true)
+    MessageHeaders::parse(headers, &name_list(&["tenant-a", "tenant-b"]), true)
 }
 
 #[test]
 fn valid_headers_are_parsed() {
-    let parsed = parse(&headers(&VALID)).expect("they are valid");
+    let parsed = parse(&headers(&VALID_HEADERS)).expect("the headers are valid");
     assert_eq!((parsed.id.as_str(), parsed.tenant, parsed.destination), ("m-1", Some(1), 7));
     assert_eq!((parsed.key.as_deref(), parsed.remaining), (Some("key-1"), Duration::from_millis(1500)));
 }
 
 #[test]
 fn repeated_header_is_rejected_even_with_equal_values() {
-    for (name, value) in VALID {
-        let mut repeated = headers(&VALID);
+    for (name, value) in VALID_HEADERS {
+        let mut repeated = headers(&VALID_HEADERS);
         repeated.append(name, HeaderValue::from_str(value).expect("a header value"));
         assert_eq!(parse(&repeated).err(), Some(RequestRejection::RepeatedHeader(name)));
     }
@@ -62,10 +62,14 @@
         (ENVELOPE_HEADER, "dest=x"),
         (ENVELOPE_HEADER, "destination=7"),
     ] {
-        assert_eq!(parse(&with(name, value)).err(), Some(RequestRejection::InvalidHeader(name)), "{value:?}");
+        assert_eq!(
+            parse(&valid_headers_with(name, value)).err(),
+            Some(RequestRejection::InvalidHeader(name)),
+            "{value:?}"
+        );
     }
-    for (name, _) in VALID {
-        let mut incomplete = headers(&VALID);
+    for (name, _) in VALID_HEADERS {
+        let mut incomplete = headers(&VALID_HEADERS);
         incomplete.remove(name);
         assert_eq!(parse(&incomplete).err(), Some(RequestRejection::InvalidHeader(name)));
     }
@@ -73,22 +77,23 @@
 
 #[test]
 fn tenant_and_key_are_optional_where_settings_do_not_require_them() {
-    let mut minimal = headers(&VALID);
+    let mut minimal = headers(&VALID_HEADERS);
     minimal.remove(TENANT_HEADER);
     minimal.remove(KEY_HEADER);
-    let parsed = MessageHeaders::parse(&minimal, &names(&[]), false).expect("they are valid");
+    let parsed = MessageHeaders::parse(&minimal, &name_list(&[]), false).expect("the headers are valid");
     assert_eq!((parsed.tenant, parsed.key), (None, None));
 }
 
 #[test]
 fn first_destination_that_is_a_number_is_used() {
-    let parsed = parse(&with(ENVELOPE_HEADER, "dest=x,dest = 5,dest=9,dest=8")).expect("they are valid");
+    let parsed = parse(&valid_headers_with(ENVELOPE_HEADER, "dest=x,dest = 5,dest=9,dest=8"))
+        .expect("the headers are valid");
     assert_eq!(parsed.destination, 9);
 }
 
 #[test]
 fn class_is_the_only_segment_of_the_path() {
-    let classes = names(&["alert", "digest"]);
+    let classes = name_list(&["alert", "digest"]);
     assert_eq!(parse_class("/digest", &classes), Ok(1));
     assert_eq!(parse_class("/other", &classes), Err(RequestRejection::UnknownClass));
     assert_eq!(parse_class("/digest/other", &classes), Err(RequestRejection::NotFound));
