--- a/src/forwarder/accept/mod.rs
+++ b/src/forwarder/accept/mod.rs
@@ -1,7 +1,7 @@
-//! Accepting connections despite errors.
+//! Accepts connections and retries after errors.
 //!
-//! `accept` fails if the next connection has broken in the queue, and as long as the process or the system has no free
-//! descriptor or memory. Neither may end a server, and neither may keep it busy.
+//! `accept` fails if the next connection broke while it was queued, and as long as the process or the system
+//! has no free descriptor or memory. Such errors must neither end a server nor make it retry in a busy loop.
 
 use std::io;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 use tokio::task::yield_now;
 use tokio::time::sleep;
 
-/// After this many failed attempts in a row, the next one is delayed. Up to there the errors may be those of single
-/// connections, which must not delay the connections behind them.
+/// Whenever this many attempts in a row have failed, the next one is delayed. Fewer errors may concern single
+/// connections, which must not delay the connections queued behind them.
 const MAX_IMMEDIATE_ATTEMPTS: u32 = 16;
-/// The delay. Meanwhile descriptors or memory may become free.
+/// The delay after [`MAX_IMMEDIATE_ATTEMPTS`] failed attempts. Descriptors or memory may become free meanwhile.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A socket that accepts connections.
 pub(crate) trait Accept: Send + Sync {
-    /// What is accepted.
+    /// An accepted connection.
     type Connection: Send;
 
     /// Accepts the next connection. No connection is lost if the future is dropped.
@@ -40,7 +40,8 @@
     }
 }
 
-/// Accepts the next connection of the named server, however often that fails. Of errors in a row, the first is logged.
+/// Accepts the next connection of the named server, and retries until that succeeds. Of errors in a row, only
+/// the first is logged.
 pub(crate) async fn accept_next<L: Accept>(listener: &L, server_name: &str) -> L::Connection {
     let mut failed_attempts = 0;
     loop {
@@ -48,7 +49,7 @@
             Ok(connection) => return connection,
             Err(error) => {
                 if failed_attempts == 0 {
-                    eprintln!("{server_name}: cannot accept a connection: {error}");
+                    eprintln!("{server_name}: cannot accept a connection, retrying: {error}");
                 }
                 failed_attempts += 1;
                 delay_after(failed_attempts).await;
--- a/src/forwarder/accept/tests.rs
+++ b/src/forwarder/accept/tests.rs
@@ -21,7 +21,7 @@
     libc::EPROTO,
 ];
 
-/// A listener that fails with these errors, and accepts a connection after them.
+/// A listener whose `accept` fails with each of these OS errors before it accepts a connection.
 struct FailingListener {
     errors: Mutex<VecDeque<i32>>,
 }
@@ -36,7 +36,7 @@
     type Connection = ();
 
     async fn accept(&self) -> io::Result<()> {
-        let error = self.errors.lock().expect("no test panics with it").pop_front();
+        let error = self.errors.lock().expect("no test panics while it holds the lock").pop_front();
         error.map_or(Ok(()), |code| Err(io::Error::from_raw_os_error(code)))
     }
 }
@@ -52,9 +52,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn errors_that_last_do_not_keep_the_server_busy() {
+async fn lasting_errors_do_not_cause_a_busy_loop() {
     let started_at = Instant::now();
-    // Without a free descriptor, for instance.
+    // The process has no free descriptor.
     let listener = FailingListener::new([libc::EMFILE; 1600]);
     accept_next(&listener, "test").await;
     assert!(started_at.elapsed() >= Duration::from_secs(1), "{:?}", started_at.elapsed());
