--- a/src/forwarder/admin.rs
+++ b/src/forwarder/admin.rs
@@ -1,7 +1,7 @@
 //! The server for operators. A connection carries one command line and one reply line.
 //!
-//! This module reads and writes the lines, and the runtime carries out the commands. The number of connections and
-//! the time of each step are bounded, so that slow operators do not delay others.
+//! This module reads and writes the lines, and the runtime executes the commands. The number of connections
+//! and the time of each step are bounded, so that slow operators do not delay others.
 
 use crate::forwarder::accept::accept_next;
 use crate::forwarder::event::RuntimeEvent;
@@ -17,19 +17,20 @@
 use tokio::task::{AbortHandle, JoinSet, yield_now};
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The largest number of open connections. Their file descriptors are reserved. A further connection replaces the
+/// Maximum number of open connections, whose file descriptors are reserved. A further connection replaces the
 /// oldest one.
 pub(crate) const MAX_CONNECTIONS: usize = 16;
-/// Length of the longest line that is read, without its line break.
+/// Maximum length of a line, without its line break.
 const MAX_LINE_BYTES: usize = 256;
 /// How long an operator may take to write a command.
 const READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// How long the runtime may take to reply. It is longer than the time for which the runtime waits for a successor.
+/// How long the runtime may take to reply. It is longer than the time for which the runtime waits for a
+/// successor.
 const REPLY_TIMEOUT: Duration = Duration::from_millis(900);
 /// How long an operator may take to read the reply.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Serves operators until it is dropped, which closes their connections.
+/// Serves operators until the future is dropped, which closes their connections.
 ///
 /// The runtime holds the other end of `events`, a bounded channel; if it stays full, the operator gets
 /// [`AdminError::NoReply`].
@@ -45,7 +46,7 @@
 #[derive(Default)]
 struct Connections {
     tasks: JoinSet<()>,
-    /// The same tasks, the oldest first.
+    /// The handles to abort the tasks, the oldest first.
     oldest_first: VecDeque<AbortHandle>,
 }
 
@@ -73,7 +74,7 @@
         Ok(success) => format!("ACK {success}\n"),
         Err(error) => format!("NAK {error}\n"),
     };
-    // If the operator does not read the reply, there is nothing else to do.
+    // An error means that the operator has disconnected or does not read the reply.
     let _ = timeout(WRITE_TIMEOUT, async {
         stream.write_all(line.as_bytes()).await?;
         stream.shutdown().await
@@ -87,7 +88,7 @@
     request(command, events).await
 }
 
-/// Reads one line. Bytes without a line break are not a command, because the end of an id may be missing.
+/// Reads one line. Bytes without a line break are rejected, because the end of an id may be missing.
 ///
 /// # Errors
 ///
--- a/src/forwarder/messages/admin_command.rs
+++ b/src/forwarder/messages/admin_command.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 use tokio::sync::oneshot;
 
-/// A command of an operator. It is passed between processes of different versions during an upgrade, so that the
+/// A command of an operator. It is passed between processes of different versions during an upgrade, so its
 /// serialized names must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum AdminCommand {
@@ -12,11 +12,11 @@
     Ready,
     /// Send no new call to the endpoint with this id.
     Disable(String),
-    /// Send calls to it again.
+    /// Send calls to the endpoint with this id again.
     Enable(String),
-    /// Let the readiness check fail, so that the load balancer sends clients to other processes.
+    /// Make the readiness check fail, so that the load balancer sends clients to other processes.
     Drain,
-    /// End a drain: let the readiness check succeed again.
+    /// End a drain: make the readiness check succeed again.
     Resume,
 }
 
@@ -24,16 +24,16 @@
 pub(crate) struct AdminRequest {
     /// The command.
     pub(crate) command: AdminCommand,
-    /// The channel for the reply. It is closed once the operator has stopped waiting; the command must not be carried
-    /// out after that.
+    /// The channel for the reply. It is closed once the operator has stopped waiting; the command must not be
+    /// executed after that.
     pub(crate) reply: oneshot::Sender<AdminReply>,
 }
 
 /// The reply to a command: what was done, or why it was not.
 pub(crate) type AdminReply = Result<AdminSuccess, AdminError>;
 
-/// What a command has done. During an upgrade it is passed between processes as the text that operators read, so that
-/// the texts must not change.
+/// What a command has done. During an upgrade it is passed between processes as the text that operators read,
+/// so the texts must not change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub(crate) enum AdminSuccess {
@@ -45,7 +45,7 @@
     AcceptingClients,
     /// No new call is sent to the endpoint with this id.
     EndpointDisabled(String),
-    /// Calls are sent to it again.
+    /// Calls are sent to the endpoint with this id again.
     EndpointEnabled(String),
     /// A text from a process of another version that this version does not know.
     Other(String),
@@ -98,8 +98,8 @@
     }
 }
 
-/// Why a command was not carried out. During an upgrade it is passed between processes as the text that operators
-/// read, so that the texts must not change.
+/// Why a command was not executed. During an upgrade it is passed between processes as the text that
+/// operators read, so the texts must not change.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 #[serde(from = "String", into = "String")]
 pub(crate) enum AdminError {
@@ -124,8 +124,8 @@
     /// The successor ended before it replied.
     #[error("the new version has gone")]
     SuccessorGone,
-    /// The runtime did not reply in time. It drops a command whose operator has stopped waiting. Only a command that it
-    /// had forwarded to a successor may still be carried out.
+    /// The runtime did not reply in time. It drops a command whose operator has stopped waiting, unless it
+    /// has already forwarded the command to a successor, which may still execute it.
     #[error("no answer in time")]
     NoReply,
     /// The journal has no capacity for the ban.
@@ -172,10 +172,10 @@
 /// Why a line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum CommandError {
-    /// It contains no word.
+    /// The line contains no word.
     #[error("empty line")]
     Empty,
-    /// Its first word is not a command.
+    /// The first word of the line is not a command.
     #[error("unknown call")]
     Unknown,
     /// The command takes exactly one endpoint id.
@@ -184,13 +184,13 @@
     /// The command takes no argument.
     #[error("this call takes nothing")]
     UnexpectedArgument,
-    /// It is longer than any command.
+    /// The line is longer than any command.
     #[error("line too long")]
     TooLong,
     /// The connection ended, or the time for reading passed, before the line was complete.
     #[error("no whole line")]
     IncompleteLine,
-    /// It is not UTF-8.
+    /// The line is not UTF-8.
     #[error("not text")]
     NotText,
 }
--- a/src/forwarder/messages/admin_command/tests.rs
+++ b/src/forwarder/messages/admin_command/tests.rs
@@ -55,7 +55,10 @@
 }
 
 fn check_serialized(reply: AdminReply, expected: serde_json::Value) {
-    let serialized = serde_json::to_value(&reply).expect("a reply is a map with one text");
+    let serialized = serde_json::to_value(&reply).expect("a reply is serializable");
     assert_eq!(serialized, expected);
-    assert_eq!(serde_json::from_value::<AdminReply>(serialized).expect("it was just written"), reply);
+    assert_eq!(
+        serde_json::from_value::<AdminReply>(serialized).expect("the reply was just serialized"),
+        reply
+    );
 }
