--- a/src/forwarder/messages/endpoint_list.rs
+++ b/src/forwarder/messages/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as discovery sends it.
+//! The endpoint list, in the format in which discovery sends it.
 
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
@@ -10,17 +10,18 @@
 pub(crate) struct EndpointList {
     /// The revision of the list.
     pub(crate) revision: u64,
-    /// The list is complete: endpoints that are not in it are removed. Otherwise it contains only changed records.
+    /// Set if the list is complete: endpoints that are not in it are removed. Otherwise it contains only the
+    /// changed records.
     pub(crate) complete: bool,
     /// The records that could be parsed.
     pub(crate) endpoints: Vec<EndpointRecord>,
-    /// The number of records that could not be parsed. They are skipped and do not affect the others.
+    /// The number of records that could not be parsed. Such records do not affect the others.
     pub(crate) unreadable: usize,
-    /// The ids of those of them whose id could be parsed.
+    /// The ids of the records that could not be parsed, except those whose id is missing or invalid too.
     pub(crate) unreadable_uids: Vec<String>,
 }
 
-/// The form of the list on the wire.
+/// The JSON form of the list.
 #[derive(Deserialize)]
 struct ListDocument {
     rev: u64,
@@ -44,14 +45,14 @@
 
 impl EndpointList {
     fn add_unreadable(&mut self, record: &Value, error: &serde_json::Error) {
-        eprintln!("discovery: unreadable record: {error}");
+        eprintln!("discovery: cannot parse a record of the endpoint list: {error}");
         self.unreadable += 1;
         self.unreadable_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
     }
 }
 
-/// One record of the endpoint list. It is passed between processes of different versions during an upgrade, so that
-/// the serialized names must not change.
+/// One record of the endpoint list. It is passed between processes of different versions during an upgrade,
+/// so its serialized names must not change.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(crate) struct EndpointRecord {
     /// The id that discovery gave to the endpoint.
@@ -59,18 +60,18 @@
     /// The address that calls are sent to.
     #[serde(rename = "endpoint")]
     pub(crate) address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     #[serde(rename = "az")]
     pub(crate) zone: String,
-    /// The name of the kind of its destination.
+    /// The name of the kind of the endpoint's destination.
     #[serde(rename = "model")]
     pub(crate) kind: String,
-    /// The destination that it belongs to.
+    /// The destination that the endpoint belongs to.
     #[serde(rename = "pod_group")]
     pub(crate) destination: u64,
-    /// Whether it is in service.
+    /// Whether the endpoint is in service.
     pub(crate) state: LifecycleState,
-    /// See [`crate::interface::EndpointWeights`].
+    /// The weight of the endpoint; see [`crate::interface::EndpointWeights`].
     #[serde(rename = "capacity_hint", default = "default_weight")]
     pub(crate) weight: f64,
 }
@@ -83,11 +84,11 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum LifecycleState {
-    /// New calls may be sent to it.
+    /// New calls may be sent to the endpoint.
     InService,
-    /// It is draining: no new call may be sent to it.
+    /// The endpoint is draining: no new call may be sent to it.
     Terminating,
-    /// It was removed.
+    /// The endpoint was removed.
     Terminated,
     /// A state that this version does not know; treated as draining.
     #[serde(other)]
