--- a/src/forwarder/messages/attempt.rs
+++ b/src/forwarder/messages/attempt.rs
@@ -1,4 +1,4 @@
-//! Identifiers of attempts, within this process and beyond it.
+//! Identifiers of attempts, within this process and across processes.
 
 use crate::interface::MessageId;
 use serde::{Deserialize, Serialize};
@@ -12,7 +12,7 @@
     pub(crate) attempt: usize,
 }
 
-/// Identifies an attempt in the journal and to another process: numbers of messages hold within one process only.
+/// Identifies an attempt in the journal and to another process, where the numbers of messages are not valid.
 /// Its JSON form is an array, which two versions of the program exchange.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(from = "(String, usize)", into = "(String, usize)")]
--- a/src/forwarder/messages/call_report.rs
+++ b/src/forwarder/messages/call_report.rs
@@ -8,19 +8,20 @@
 
 /// How an attempt ended.
 pub(crate) struct AttemptResult {
-    /// The message.
+    /// The number of the message.
     pub(crate) id: MessageId,
-    /// Number of the attempt.
+    /// Number of the attempt, from 0.
     pub(crate) attempt: usize,
-    /// How it ended.
+    /// How the attempt ended.
     pub(crate) outcome: Outcome,
     /// The message is complete: it needs no further attempt and no final reply.
     pub(crate) finished: bool,
-    /// What the endpoint reported about its rate limit, if it did.
+    /// What the endpoint reported about its rate limit, if anything.
     pub(crate) report: Option<LoadReport>,
-    /// A wait that the endpoint asked for, in microseconds. It may accompany any outcome.
+    /// The wait that the endpoint requested, in microseconds. It may accompany any outcome.
     pub(crate) retry_after: Option<Micros>,
-    /// The call was not written, or not completely: the attempt does not count towards the maximum of attempts.
+    /// The call was not written, or not completely: the attempt does not count towards the maximum of
+    /// attempts.
     pub(crate) unsent: bool,
 }
 
@@ -50,7 +51,7 @@
 pub(crate) struct ConnectionUsage {
     /// The number of connections that were established.
     pub(crate) opened: usize,
-    /// Why a connection could not be established; `None` if that did not happen.
+    /// Why a connection could not be established; `None` if none failed.
     pub(crate) failed: Option<io::ErrorKind>,
     /// Whether the reused connection was alive; `None` if the call was not written to a reused connection.
     pub(crate) reuse: Option<IdleReuse>,
@@ -59,8 +60,8 @@
 /// Whether an idle connection that was reused was still alive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IdleReuse {
-    /// A response to the call arrived on it.
+    /// A response to the call arrived on the connection.
     Alive,
-    /// It broke as soon as the call was written.
+    /// The connection broke as soon as the call was written.
     Dead,
 }
--- a/src/forwarder/messages/client_request.rs
+++ b/src/forwarder/messages/client_request.rs
@@ -9,9 +9,9 @@
 pub(crate) struct ClientRequest {
     /// The id that the client gave to the message.
     pub(crate) id: String,
-    /// Index of its class.
+    /// Index of the message's class.
     pub(crate) class: usize,
-    /// Index of its tenant.
+    /// Index of the message's tenant.
     pub(crate) tenant: Option<usize>,
     /// The destination.
     pub(crate) destination: u64,
@@ -19,13 +19,13 @@
     pub(crate) idempotency_key: Option<String>,
     /// The payload, passed to the endpoint unchanged.
     pub(crate) body: Bytes,
-    /// The client stops waiting at this time, and the message expires.
+    /// The message expires at this time, and the client stops waiting.
     pub(crate) deadline: Instant,
     /// The channel for the reply. It is closed once the client has disconnected.
     pub(crate) reply: oneshot::Sender<ClientReply>,
 }
 
-/// The reply to a client. It is passed between processes of different versions during an upgrade, so that the
+/// The reply to a client. It is passed between processes of different versions during an upgrade, so its
 /// serialized names must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum ClientReply {
--- a/src/forwarder/messages/notice.rs
+++ b/src/forwarder/messages/notice.rs
@@ -2,15 +2,15 @@
 
 use serde::{Deserialize, Serialize};
 
-/// How an accepted message ended that was not delivered. It is stored in the journal and sent to the
-/// platform, so that the serialized names must not change.
+/// How an accepted message ended that was not delivered. The outcome is stored in the journal and sent to the
+/// platform, so its serialized names must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "outcome")]
 pub(crate) enum NoticeOutcome {
-    /// It failed; it may have been executed.
+    /// The message failed; it may have been executed.
     #[serde(rename = "given_up")]
     Failed,
-    /// It was rejected without execution, and may be submitted again.
+    /// The message was rejected without execution, and may be submitted again.
     #[serde(rename = "handed_back")]
     Rejected {
         /// How long the client should wait before it submits the message again, in milliseconds.
@@ -24,7 +24,7 @@
 pub(crate) struct Notice {
     /// The id that the client gave to the message.
     pub(crate) message: String,
-    /// How it ended.
+    /// How the message ended.
     #[serde(flatten)]
     pub(crate) outcome: NoticeOutcome,
 }
