--- a/src/forwarder/background_tasks.rs
+++ b/src/forwarder/background_tasks.rs
@@ -7,7 +7,7 @@
 pub(crate) struct BackgroundTasks(JoinSet<()>);
 
 impl BackgroundTasks {
-    /// Starts a task. It can be aborted earlier by the handle that is returned.
+    /// Starts a task and returns a handle that can abort it earlier.
     pub(crate) fn spawn(&mut self, task: impl Future<Output = ()> + Send + 'static) -> AbortHandle {
         self.0.spawn(task)
     }
--- a/src/forwarder/event.rs
+++ b/src/forwarder/event.rs
@@ -8,7 +8,7 @@
 use super::messages::notice::Notice;
 use super::upgrade::{PeerChannel, PeerEvent};
 
-/// Something that the runtime has to handle.
+/// An event that the runtime handles.
 pub(crate) enum RuntimeEvent {
     /// A client submitted a message.
     ClientRequest(ClientRequest),
@@ -16,7 +16,7 @@
     CallEnded(CallReport),
     /// Discovery sent the endpoint list, or changes to it.
     EndpointList(EndpointList),
-    /// The endpoint list has become too old, or is fresh again.
+    /// The endpoint list has become stale, or is fresh again.
     ListAge(ListAge),
     /// The platform acknowledged these notices.
     NoticesAcknowledged(Vec<Notice>),
--- a/src/forwarder/signals.rs
+++ b/src/forwarder/signals.rs
@@ -5,7 +5,7 @@
 
 /// The signals that the process handles, from the moment of [`Signals::install`] on.
 pub(crate) struct Signals {
-    /// SIGHUP: requests that the configuration be read again.
+    /// SIGHUP: requests a reload of the configuration.
     pub(crate) hangup: Signal,
     /// SIGTERM: requests a graceful shutdown.
     pub(crate) terminate: Signal,
