--- a/src/forwarder/endpoint_client/call.rs
+++ b/src/forwarder/endpoint_client/call.rs
@@ -1,4 +1,4 @@
-//! Makes one call, from its request to its report.
+//! Makes one call to an endpoint, from its request to its report.
 
 use super::exchange::{CallConnection, NoResponse};
 use super::outcome::{attempt_result, attempt_results};
@@ -21,7 +21,7 @@
 
 /// One message in a call.
 pub(crate) struct CallItem {
-    /// The message.
+    /// The number of the message within this process.
     pub(crate) id: MessageId,
     /// Number of the attempt.
     pub(crate) attempt: usize,
@@ -31,12 +31,12 @@
     pub(crate) idempotency_key: Option<String>,
     /// The payload.
     pub(crate) body: Bytes,
-    /// The attempt times out at this time.
+    /// When the attempt times out.
     pub(crate) times_out_at: Instant,
-    /// The message expires at this time, and the call ends with it.
+    /// When the message expires. The whole call ends then.
     pub(crate) expires_at: Instant,
-    /// The attempt must not be written at or after this time. For a retry, the endpoint may have forgotten the
-    /// idempotency key by then.
+    /// The attempt must not be written at or after this time: if it is a retry, the endpoint may have
+    /// forgotten the idempotency key by then.
     pub(crate) send_before: Instant,
 }
 
@@ -51,20 +51,20 @@
 pub(crate) struct OutboundCall {
     /// The endpoint to call.
     pub(crate) endpoint: EndpointId,
-    /// Its address.
+    /// The address to call.
     pub(crate) address: SocketAddr,
-    /// The messages. Without any, nothing is sent, and the report has no results.
+    /// The messages to send. If there are none, nothing is sent, and the report has no results.
     pub(crate) items: Vec<CallItem>,
     /// An idle connection to the address, if there is one to reuse.
     pub(crate) reused: Option<Connection>,
-    /// The time that establishing a connection may take.
+    /// Maximum time to establish a connection.
     pub(crate) connect_timeout: Duration,
-    /// Commands from the runtime, which holds the sender and sends without waiting: the bound suffices for all
-    /// commands that a call can get.
+    /// Commands from the runtime, which holds the sender. The channel has capacity for all commands that a
+    /// call can receive, so the runtime sends without waiting.
     pub(crate) commands: Receiver<CallCommand>,
     /// Checks whether the call may still be written. The runtime holds the other reference.
     pub(crate) guard: Arc<WriteGuard>,
-    /// The bounded event queue of the runtime, which gets the report.
+    /// The bounded event queue of the runtime, to which the report is sent.
     pub(crate) events: Sender<RuntimeEvent>,
 }
 
@@ -72,22 +72,23 @@
 pub(crate) enum CallCommand {
     /// Cancel this attempt.
     Cancel(AttemptKey),
-    /// End the call. One of its messages has failed and its client is notified, so that the message must not be
-    /// delivered after that, and a single message cannot be removed from a call that has been written.
+    /// Abandon the call. One of its messages has failed and the client is notified of that, so the message
+    /// must not be delivered any more, and a single message cannot be removed from a call that has been
+    /// written.
     Abandon,
-    /// The call must not be written from now on, for instance because the destination sent a Retry-After.
+    /// Do not write the call from now on, for instance because the destination sent a Retry-After.
     WithholdWrite,
 }
 
 /// Makes the call and reports the outcome of each attempt in it to the runtime.
 ///
-/// The results are reported together when the call is over. Until then the endpoint may still be executing each of
-/// its messages, and a retry of one of them could execute it twice.
+/// The results are reported together when the call is over. Until then the endpoint may still be executing
+/// each of its messages, and a retry of one of them could execute it twice.
 pub(crate) async fn perform(mut call: OutboundCall) {
     let items = std::mem::take(&mut call.items);
     let reused = call.reused.take();
     let Some(request) = encode_request(&items, call.address) else {
-        // Each attempt must be reported in any case: otherwise it would occupy its call slot forever.
+        // Each attempt must be reported nevertheless: otherwise it would occupy its call slot forever.
         let results = items.iter().map(|item| attempt_result(item, Outcome::NotSent)).collect();
         return call.report(results, reused, ConnectionUsage::default()).await;
     };
@@ -98,7 +99,8 @@
         await_response(exchange, &mut pending, &mut call.commands, &call.guard).await
     };
     let is_complete = matches!(&response, Some(Ok(response)) if response.is_complete);
-    // Closed before the report, so that the endpoint can notice the end of this call before a retry starts.
+    // The connection is closed before the report, so that the endpoint can notice the end of this call before
+    // a retry starts.
     if !is_complete {
         connection.close().await;
     }
@@ -110,8 +112,8 @@
     call.report(results, connection, usage).await;
 }
 
-/// Waits for the end of the exchange, and meanwhile ends attempts that time out or are cancelled. Returns `None`
-/// once no attempt is left that waits for the response.
+/// Waits for the end of the exchange, and meanwhile ends attempts that time out or are cancelled. Returns
+/// `None` once no attempt waits for the response any more.
 async fn await_response<E>(
     mut exchange: Pin<&mut E>,
     pending: &mut PendingItems,
@@ -122,7 +124,7 @@
     E: Future<Output = Result<EndpointResponse, NoResponse>>,
 {
     while let Some(next_timeout) = pending.next_timeout() {
-        // The timer is disabled, whatever its time, once `send_before` has passed.
+        // Once `send_before` has passed it is `None`, and its timer is disabled.
         let send_before = pending.send_before();
         tokio::select! {
             response = &mut exchange => return Some(response),
--- a/src/forwarder/endpoint_client/exchange.rs
+++ b/src/forwarder/endpoint_client/exchange.rs
@@ -12,19 +12,19 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A reused connection that breaks within this time after a call was written to it is taken for stale: an endpoint
-/// that receives a call and then fails takes longer.
+/// A reused connection that breaks within this time after a call was written to it is considered stale: an
+/// endpoint that receives a call and then fails takes longer.
 const STALE_CONNECTION_WINDOW: Duration = Duration::from_millis(100);
 
 /// Why a call has no response that can be parsed.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(super) enum NoResponse {
-    /// No connection was established, or it broke before the call was written completely. An endpoint executes only
-    /// complete calls.
+    /// No connection was established, or it broke before the call was written completely. An endpoint
+    /// executes only complete calls.
     #[error("not connected")]
     NotConnected,
-    /// The call was not written completely, for a reason that shows nothing about the endpoint: this process cannot
-    /// open a connection now, or the connection had been closed while it was idle.
+    /// The call was not written completely, for a reason that says nothing about the endpoint's health: this
+    /// process cannot open a connection now, or the connection had been closed while it was idle.
     #[error("not sent")]
     NotSent,
     /// The [`WriteGuard`] did not permit the write, and nothing was written.
@@ -33,11 +33,12 @@
     /// The connection broke. The call may have been executed.
     #[error("the connection broke before a response arrived")]
     Interrupted,
-    /// A response arrived that cannot be parsed. The call may have been executed.
+    /// A response arrived but cannot be parsed. The call may have been executed.
     #[error("the response cannot be parsed")]
     Invalid,
-    /// The connection had been idle and was stale. The call may have been executed nevertheless.
-    #[error("the idle connection was dead")]
+    /// The reused connection had become stale while it was idle. The call may have been executed
+    /// nevertheless.
+    #[error("the reused connection was stale")]
     StaleConnection,
 }
 
@@ -52,7 +53,7 @@
     usage: ConnectionUsage,
 }
 
-/// The circumstances of a sent request that the interpretation of its failure depends on.
+/// What is known of a sent request when its failure is interpreted.
 struct SentRequest {
     is_batch: bool,
     /// The connection had carried another call before this one.
@@ -61,8 +62,8 @@
 }
 
 impl<C: Connect> CallConnection<C> {
-    /// Prepares a connection to `address`: `reused` if it can still carry a call, and otherwise a new one, which is
-    /// opened by `connector` within `connect_timeout`.
+    /// Prepares a connection to `address`: `reused` if it can still carry a call, and otherwise a new one,
+    /// which is opened by `connector` within `connect_timeout`.
     pub(super) fn new(
         connector: C,
         address: SocketAddr,
@@ -73,8 +74,8 @@
         CallConnection { connector, address, connect_timeout, connection: reused, usage }
     }
 
-    /// Sends the request if `guard` permits it, and reads its response. If a reused connection turns out to be closed
-    /// before anything was written, a new connection is opened.
+    /// Sends the request if `guard` permits it, and reads its response. If a reused connection turns out to
+    /// be closed before anything was written, a new connection is opened.
     ///
     /// # Errors
     ///
@@ -169,11 +170,12 @@
         }
     }
 
-    /// Whether the status line alone shows that the message was delivered, whatever happened to the rest of the
-    /// response.
+    /// Whether the status line alone shows that the message was delivered, whatever happened to the rest of
+    /// the response.
     ///
-    /// On a reused connection the status line may belong to a late duplicate of the previous call's response. A
-    /// message wrongly considered delivered would be lost, so that the status line alone is not sufficient there.
+    /// On a reused connection the status line may belong to a late duplicate of the previous call's response.
+    /// A message wrongly considered delivered would be lost, so the status line alone is not sufficient
+    /// there.
     fn proves_delivery(&self, sent: &SentRequest) -> bool {
         let status = self.connection.as_ref().and_then(Connection::status);
         !sent.is_batch && !sent.on_reused_connection && status == Some(StatusCode::OK)
--- a/src/forwarder/endpoint_client/exchange/tests.rs
+++ b/src/forwarder/endpoint_client/exchange/tests.rs
@@ -15,19 +15,19 @@
 const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The number of journals that these tests have opened.
-static JOURNALS: AtomicUsize = AtomicUsize::new(0);
+/// Number of journals opened by these tests. It makes the folder of each journal unique.
+static JOURNAL_COUNT: AtomicUsize = AtomicUsize::new(0);
 
-/// The result of one operation of the system: the bytes that are read or the number that is written, or the code of an
-/// error.
-type Step<T> = Result<T, i32>;
+/// The result of one system call: its value (such as the bytes read or the number of bytes written), or an OS
+/// error code.
+type ScriptedResult<T> = Result<T, i32>;
 
-/// A stream whose operations end as the test says. Once the steps of the writes are used up, everything is written.
-/// Reads wait until the request has been written.
+/// A stream whose reads and writes return scripted results. Once the results of the writes are used up, every
+/// write succeeds completely. Reads wait until the request has been written.
 #[derive(Default)]
 struct ScriptedStream {
-    writes: VecDeque<Step<usize>>,
-    reads: VecDeque<Step<Vec<u8>>>,
+    writes: VecDeque<ScriptedResult<usize>>,
+    reads: VecDeque<ScriptedResult<Vec<u8>>>,
     written: Vec<u8>,
     reader: Option<Waker>,
 }
@@ -38,8 +38,8 @@
         _context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let step = self.writes.pop_front().unwrap_or(Ok(bytes.len()));
-        let length = step.map_err(io::Error::from_raw_os_error)?.min(bytes.len());
+        let result = self.writes.pop_front().unwrap_or(Ok(bytes.len()));
+        let length = result.map_err(io::Error::from_raw_os_error)?.min(bytes.len());
         self.written.extend_from_slice(&bytes[..length]);
         if let Some(reader) = self.reader.take() {
             reader.wake();
@@ -63,43 +63,43 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let is_written = self.written.ends_with(BODY.as_bytes());
-        let Some(step) = self.reads.pop_front_if(|_| is_written) else {
+        let Some(result) = self.reads.pop_front_if(|_| is_written) else {
             self.reader = Some(context.waker().clone());
             return Poll::Pending;
         };
-        buffer.put_slice(&step.map_err(io::Error::from_raw_os_error)?);
+        buffer.put_slice(&result.map_err(io::Error::from_raw_os_error)?);
         Poll::Ready(Ok(()))
     }
 }
 
-/// Opens one connection: a stream, or the code of an error.
-struct ScriptedConnector(Mutex<Option<Step<ScriptedStream>>>);
+/// A connector for one connection, with the result of opening it: a stream, or an OS error code.
+struct ScriptedConnector(Mutex<Option<ScriptedResult<ScriptedStream>>>);
 
 impl Connect for ScriptedConnector {
     type Stream = ScriptedStream;
 
     async fn connect(&self, _address: SocketAddr) -> io::Result<ScriptedStream> {
-        let step = self.0.lock().expect("no test panics with it").take();
-        step.expect("one connection is opened").map_err(io::Error::from_raw_os_error)
+        let result = self.0.lock().expect("no test panics while it holds the lock").take();
+        result.expect("one connection is opened").map_err(io::Error::from_raw_os_error)
     }
 }
 
-/// A guard that permits the write, and the folder of its journal.
+/// Returns a guard that permits the write, and the folder of its journal.
 fn guard() -> (WriteGuard, PathBuf) {
-    let number = JOURNALS.fetch_add(1, Ordering::Relaxed);
+    let number = JOURNAL_COUNT.fetch_add(1, Ordering::Relaxed);
     let folder = env::temp_dir().join(format!("exchange-test-{}-{number}", process::id()));
     fs::create_dir_all(&folder).expect("a temporary folder");
     let clock = Timeline::open(&folder, folder.join("socket"), KernelClocks).clock();
-    let (journal, _) = Journal::open(&folder, 1 << 20, clock.now_unix_ms()).expect("it opens");
+    let (journal, _) = Journal::open(&folder, 1 << 20, clock.now_unix_ms()).expect("the journal opens");
     let attempts = vec![AttemptRef { message: "m".to_owned(), attempt: 0 }];
     let journal = SharedJournal::new(journal);
     let guard = WriteGuard::new(journal, clock, attempts, Instant::now() + TIMEOUT, "a".to_owned());
     (guard, folder)
 }
 
-/// Makes a call on a new connection, and returns the status of the response. The second value tells whether the attempt
-/// was journaled as one that may have been executed.
-async fn call(opened: Step<ScriptedStream>) -> (Result<StatusCode, NoResponse>, bool) {
+/// Makes a call on a new connection. Returns the status of the response, and whether the attempt was recorded
+/// in the journal as one that may have been executed.
+async fn call(opened: ScriptedResult<ScriptedStream>) -> (Result<StatusCode, NoResponse>, bool) {
     let (guard, folder) = guard();
     let connector = ScriptedConnector(Mutex::new(Some(opened)));
     let address = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -107,17 +107,17 @@
     let request = Request::post("/hook").body(Full::new(Bytes::from(BODY))).expect("a valid request");
     let response = connection.exchange(request, &guard).await;
     let is_begun = guard.is_begun();
-    fs::remove_dir_all(&folder).expect("it was there");
+    fs::remove_dir_all(&folder).expect("the folder exists");
     (response.map(|response| response.status), is_begun)
 }
 
 /// Splits a text into reads of one byte each.
-fn bytewise(text: &str) -> VecDeque<Step<Vec<u8>>> {
+fn bytewise(text: &str) -> VecDeque<ScriptedResult<Vec<u8>>> {
     text.bytes().map(|byte| Ok(vec![byte])).collect()
 }
 
 #[tokio::test]
-async fn a_connection_that_this_process_cannot_open_shows_nothing_about_the_endpoint() {
+async fn a_local_failure_to_connect_is_reported_as_not_sent() {
     for error in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL, libc::EINTR] {
         let (response, is_begun) = call(Err(error)).await;
         assert!(matches!(response, Err(NoResponse::NotSent)) && !is_begun, "{error}: {response:?}");
@@ -125,7 +125,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_the_endpoint_or_the_network_refuses_is_not_established() {
+async fn a_connection_refused_by_the_endpoint_or_the_network_is_reported_as_not_connected() {
     for error in [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::ENETUNREACH, libc::EHOSTUNREACH] {
         let (response, is_begun) = call(Err(error)).await;
         assert!(matches!(response, Err(NoResponse::NotConnected)) && !is_begun, "{error}: {response:?}");
--- a/src/forwarder/endpoint_client/mod.rs
+++ b/src/forwarder/endpoint_client/mod.rs
@@ -1,7 +1,7 @@
-//! Calls to endpoints.
+//! The client of the endpoints: makes calls and reports the outcome of each attempt.
 //!
-//! A connection carries one call at a time. A call carries one or more messages, and each of them gets an outcome of
-//! its own.
+//! A connection carries one call at a time. A call carries one or more messages, and each of them gets an
+//! outcome of its own.
 
 mod call;
 mod exchange;
