--- a/src/forwarder/endpoint_client/outcome.rs
+++ b/src/forwarder/endpoint_client/outcome.rs
@@ -64,8 +64,8 @@
 fn results_of_response(waiting: &[CallItem], response: &EndpointResponse) -> Vec<AttemptResult> {
     let mut results: Vec<AttemptResult> =
         waiting.iter().map(|item| result_of_response(item, response)).collect();
-    // The decision module judges a call by the last result that it receives of it: a few delivered messages must
-    // not hide that the others were rejected or failed.
+    // The decision module judges a call by the last result that it receives of it: a few delivered messages
+    // must not hide that the others were rejected or failed.
     results.sort_by_key(|result| severity(result.outcome));
     results
 }
@@ -75,14 +75,15 @@
     AttemptResult {
         finished,
         report: response.load_report,
-        // An endpoint may request a wait with any outcome, even if it has delivered all messages.
+        // An endpoint may ask for a wait with any outcome, even if it has accepted all messages.
         retry_after: response.retry_after,
         unsent: false,
         ..attempt_result(item, outcome)
     }
 }
 
-/// The rank of an outcome. In the results of a call, outcomes with a higher rank follow those with a lower one.
+/// The rank of an outcome. In the results of a call, outcomes with a higher rank follow those with a lower
+/// one.
 fn severity(outcome: Outcome) -> u8 {
     match outcome {
         Outcome::Delivered => 0,
@@ -117,7 +118,8 @@
         Some(DeliveryState::Deferred) => MessageOutcome::unfinished(rejected),
         Some(DeliveryState::Expired) => MessageOutcome::finished(Outcome::NotSent),
         Some(DeliveryState::NoMore) => MessageOutcome::unfinished(Outcome::NotSent),
-        // The response does not mention the message, or not in a form that can be parsed: it may have been executed.
+        // The response does not mention the message, or not in a form that can be parsed: it may have been
+        // executed.
         Some(DeliveryState::Failed) | None => MessageOutcome::unfinished(Outcome::Error),
     }
 }
