--- a/src/forwarder/endpoint_client/write_guard/mod.rs
+++ b/src/forwarder/endpoint_client/write_guard/mod.rs
@@ -1,4 +1,4 @@
-//! Checks that a call may still be written, and records its attempts in the journal immediately before.
+//! Checks that a call may still be written, and records its attempts in the journal just before the write.
 
 use crate::forwarder::clock::UnixClock;
 use crate::forwarder::journal::{JournalError, Record, SharedJournal};
@@ -8,11 +8,11 @@
 
 /// Decides whether a call may be written, and records its attempts in the journal just before the first byte.
 ///
-/// They are not recorded earlier: after a restart, a recorded attempt is considered one that may have been executed.
-/// The guard is shared by the call and the runtime, which run on one thread.
+/// The attempts are not recorded earlier, because after a restart a recorded attempt is treated as one that
+/// may have been executed. The guard is shared by the call and the runtime, which run on one thread.
 pub(crate) struct WriteGuard {
     journal: SharedJournal,
-    /// For the times of the records.
+    /// The clock for the times of the records.
     unix_clock: UnixClock,
     /// The attempts to record.
     attempts: Vec<AttemptRef>,
@@ -20,15 +20,15 @@
     send_before: Instant,
     /// The zone of the endpoint, which is recorded with the attempts.
     zone: String,
-    /// The call may have been written, at least in part.
+    /// Whether the call may have been written, at least in part.
     write_begun: AtomicBool,
-    /// Nothing more may be written.
+    /// Whether writing has been forbidden.
     write_withheld: AtomicBool,
 }
 
 impl WriteGuard {
-    /// A guard for a call of these `attempts` to an endpoint in `zone`. The call must not be written at or after
-    /// `send_before`.
+    /// A guard for a call with these `attempts` to an endpoint in `zone`. The call must not be written at or
+    /// after `send_before`.
     pub(crate) fn new(
         journal: SharedJournal,
         unix_clock: UnixClock,
@@ -59,8 +59,8 @@
 
     /// Returns whether the call may be written now, and records its attempts the first time that it may.
     pub(super) fn try_begin(&self) -> bool {
-        // The time is compared here although the call also has a timer for it: both the timer and the connection
-        // may become ready at once, and the connection may be polled first.
+        // The time is compared here although the call also has a timer for it: both the timer and the
+        // connection may become ready at once, and the connection may be polled first.
         if self.write_withheld.load(Ordering::Relaxed) || Instant::now() >= self.send_before {
             return false;
         }
@@ -68,7 +68,7 @@
             return true;
         }
         if let Err(error) = self.record_attempts() {
-            eprintln!("journal: a call is withheld: {error}");
+            eprintln!("journal: cannot record the attempts of a call; the call is not sent: {error}");
             return false;
         }
         self.write_begun.store(true, Ordering::Relaxed);
