--- a/src/forwarder/endpoint_client/request/format_tests.rs
+++ b/src/forwarder/endpoint_client/request/format_tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-/// A request as text: its first line, its headers by name, and its body.
+/// The request for these messages as text: its method and path, its headers in order, and its body.
 async fn text_of(items: &[CallItem]) -> String {
     let request =
         encode_request(items, ENDPOINT.parse().expect("an address")).expect("a request can be made");
--- a/src/forwarder/endpoint_client/request/mod.rs
+++ b/src/forwarder/endpoint_client/request/mod.rs
@@ -27,8 +27,8 @@
     body: String,
 }
 
-/// The request for one message or for several. `None` if there is no message, or one whose id or key is not a
-/// valid header value.
+/// Encodes a call with one message or a batch. Returns `None` if there is no message, or if the id or the key
+/// of a single message is not a valid header value.
 pub(super) fn encode_request(items: &[CallItem], address: SocketAddr) -> Option<Request<Full<Bytes>>> {
     let mut request = match items {
         [] => return None,
@@ -41,7 +41,7 @@
     Some(request)
 }
 
-/// Whether the request is for several messages.
+/// Whether the request is a batch.
 pub(super) fn is_batch(request: &Request<Full<Bytes>>) -> bool {
     request.uri().path() == BATCH_PATH
 }
--- a/src/forwarder/endpoint_client/response.rs
+++ b/src/forwarder/endpoint_client/response.rs
@@ -1,4 +1,4 @@
-//! Reading the response of an endpoint: its status, its headers and the state of each message in a batch.
+//! Reads the response of an endpoint: its status, its headers and the state of each message in a batch.
 
 use super::exchange::NoResponse;
 use crate::forwarder::http;
@@ -8,10 +8,10 @@
 use hyper::{HeaderMap, Response, StatusCode};
 use serde::Deserialize;
 
-/// The longest body of a response that is read.
+/// Maximum length of the body of a response.
 const MAX_BODY_BYTES: usize = 64 << 10;
-/// The longest wait that is accepted from an endpoint. It exceeds every wait that endpoints ask for: the bound keeps
-/// a value that was damaged on its way from blocking a destination forever.
+/// Upper bound of the wait that is accepted from an endpoint. Endpoints ask for shorter waits: the bound
+/// keeps a value that was damaged in transit from blocking a destination forever.
 const MAX_RETRY_AFTER_MS: f64 = 60_000.0;
 
 /// The response to a call.
@@ -26,7 +26,7 @@
     pub(super) load_report: Option<LoadReport>,
     /// The states of the messages of a batch. `None` if the call was no batch or its status is not 200.
     pub(super) item_states: Option<Vec<ItemState>>,
-    /// The body was read to its end. Only then the connection can be reused.
+    /// The body was read to its end. Only then can the connection be reused.
     pub(super) is_complete: bool,
 }
 
@@ -35,7 +35,7 @@
 pub(super) struct ItemState {
     /// The id that the client gave to the message.
     pub(super) id: String,
-    /// What became of it.
+    /// What the endpoint reports about the message.
     pub(super) state: DeliveryState,
 }
 
@@ -43,15 +43,15 @@
 #[derive(Clone, Copy, Deserialize)]
 #[serde(from = "String")]
 pub(super) enum DeliveryState {
-    /// It was delivered.
+    /// The message was delivered.
     Accepted,
-    /// It was rejected without execution.
+    /// The message was rejected without execution.
     Deferred,
-    /// It was not executed, and must not be sent again.
+    /// The message was not executed, and must not be sent again.
     Expired,
-    /// It was not executed: the endpoint takes no more messages from this batch.
+    /// The message was not executed: the endpoint takes no more messages from this batch.
     NoMore,
-    /// It failed, or its state is unknown to this version: it may have been executed.
+    /// The message failed, or its state is unknown to this version: it may have been executed.
     Failed,
 }
 
@@ -68,7 +68,7 @@
 }
 
 impl EndpointResponse {
-    /// A response of which only the status line could be parsed.
+    /// A response of which only the status line was parsed.
     pub(super) fn status_only(status: StatusCode) -> Self {
         EndpointResponse {
             status,
@@ -87,7 +87,7 @@
     /// arrived.
     pub(super) async fn read(response: Response<Incoming>, is_batch: bool) -> Result<Self, NoResponse> {
         let mut read = EndpointResponse::from_head(response.status(), response.headers());
-        let body = http::read_prompt_body(response.into_body(), MAX_BODY_BYTES).await;
+        let body = http::read_body_with_timeout(response.into_body(), MAX_BODY_BYTES).await;
         read.is_complete = body.is_some();
         let is_ok = read.status == StatusCode::OK;
         if is_batch && is_ok {
--- a/src/forwarder/http/connect.rs
+++ b/src/forwarder/http/connect.rs
@@ -1,4 +1,4 @@
-//! Opening the byte streams of connections.
+//! Opens the byte streams of connections.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
     /// An open stream.
     type Stream: AsyncRead + AsyncWrite + Send + Unpin + 'static;
 
-    /// Opens a stream to `address`. The caller bounds the time.
+    /// Opens a stream to `address`. The caller sets a timeout.
     fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>> + Send;
 }
 
@@ -23,14 +23,14 @@
 
     async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
         let stream = TcpStream::connect(address).await?;
-        // Without it, the system may delay small writes. That is no reason to give up the connection.
+        // Without TCP_NODELAY the system may delay small writes, which is no reason to fail.
         let _ = stream.set_nodelay(true);
         Ok(stream)
     }
 }
 
-/// Whether a connection was not opened for a reason that lies in this process or its system, whatever the state of
-/// the other side.
+/// Whether a connection could not be opened for a reason within this process or its system, whatever the
+/// state of the other side.
 pub(crate) fn is_local_failure(error: &io::Error) -> bool {
     let local_errors = [
         libc::EMFILE,
--- a/src/forwarder/http/connection.rs
+++ b/src/forwarder/http/connection.rs
@@ -18,13 +18,13 @@
 use tokio::task::{JoinHandle, yield_now};
 use tokio::time::{sleep, timeout};
 
-/// The longest head of a response, and the largest number of unread bytes that a connection buffers.
+/// Maximum length of the head of a response, and of the unread bytes that a connection buffers.
 const MAX_BUFFER_BYTES: usize = 16 << 10;
 
 /// Why a request has no response.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SendRequestError {
-    /// No byte of the request was written. It is returned for use on another connection.
+    /// No byte of the request was written. The request is returned for use on another connection.
     #[error("the connection closed before the request was written")]
     NotWritten(Box<Request<Full<Bytes>>>),
     /// The connection broke before the last byte of the request was written.
@@ -33,7 +33,7 @@
     /// The request was written, and may have arrived.
     #[error("the connection broke before a response arrived")]
     Interrupted,
-    /// A response arrived that cannot be parsed.
+    /// A response arrived but cannot be parsed.
     #[error("the response cannot be parsed")]
     InvalidResponse,
 }
@@ -41,26 +41,26 @@
 /// An open connection. It is closed when it is dropped.
 pub(crate) struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// What has arrived of the last response. The stream, owned by the driver task, holds another sender of the
-    /// channel and updates it; the channel keeps only the last value.
+    /// How much of the last response has arrived. The stream, owned by the driver task, holds another sender
+    /// of the channel and updates the value; the channel keeps only the last one.
     progress: watch::Sender<ResponseProgress>,
-    /// Bytes could not be written. Shared with the stream, which sets it.
+    /// Whether a write has failed. Shared with the stream, which sets it.
     write_failed: Arc<AtomicBool>,
     /// The task that reads and writes the socket. It ends with the connection.
     driver: JoinHandle<()>,
 }
 
 impl Connection {
-    /// Opens a TCP connection to `address` within `limit`.
-    pub(crate) async fn open(address: SocketAddr, limit: Duration) -> io::Result<Self> {
-        Connection::open_with(&TcpConnector, address, limit).await
+    /// Opens a TCP connection to `address` within `time_limit`.
+    pub(crate) async fn open(address: SocketAddr, time_limit: Duration) -> io::Result<Self> {
+        Connection::open_with(&TcpConnector, address, time_limit).await
     }
 
-    /// Opens a connection to `address` by `connector` within `limit`.
+    /// Opens a connection to `address` with `connector` within `time_limit`.
     pub(crate) async fn open_with<C: Connect>(
         connector: &C,
         address: SocketAddr,
-        limit: Duration,
+        time_limit: Duration,
     ) -> io::Result<Self> {
         let (progress, _) = watch::channel(ResponseProgress::NotStarted);
         let write_failed = Arc::new(AtomicBool::new(false));
@@ -74,25 +74,26 @@
                 .await
                 .map_err(io::Error::other)
         };
-        let (sender, connection) = timeout(limit, handshake).await.map_err(|_| io::ErrorKind::TimedOut)??;
+        let (sender, connection) =
+            timeout(time_limit, handshake).await.map_err(|_| io::ErrorKind::TimedOut)??;
         let driver = tokio::spawn(async move {
-            // An error also fails the request that the connection carries, and is handled there.
+            // An error also fails the request that is in flight on the connection, and is handled there.
             let _ = connection.await;
         });
         Ok(Connection { sender, progress, write_failed, driver })
     }
 
-    /// Whether the connection was open when the driver last read from it. It is closed once the other side has closed
-    /// it or has sent bytes that are not the response to a request.
+    /// Whether the connection was open when the driver last read from it. It is closed once the other side
+    /// has closed it or has sent bytes that are not the response to a request.
     pub(crate) fn is_open(&self) -> bool {
         !self.sender.is_closed()
     }
 
     /// Whether the connection may carry another request.
     ///
-    /// Bytes after the last response would be taken for the response to the next request, or would make it fail.
-    /// The driver closes an idle connection at the first such byte, but only once it has been scheduled: this
-    /// method yields to it first.
+    /// Bytes after the last response would be taken for the response to the next request, or would make it
+    /// fail. The driver closes an idle connection at the first such byte, but only once it has been
+    /// scheduled: this method yields to it first.
     pub(crate) async fn is_reusable(&self) -> bool {
         yield_now().await;
         self.is_open()
@@ -106,9 +107,9 @@
         }
     }
 
-    /// Sends one request and waits for the head of its response. The caller bounds the time until the response
-    /// starts. A response that has started must complete its head soon, or it counts as invalid: otherwise it
-    /// would occupy its call slot until the call times out.
+    /// Sends one request and waits for the head of its response. The caller sets a timeout for the start of
+    /// the response. Once started, the head must be complete within [`RESPONSE_COMPLETION_TIMEOUT`], or the
+    /// response counts as invalid: otherwise it would occupy its call slot until the call times out.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -131,7 +132,8 @@
         let response = tokio::select! {
             biased;
             response = self.sender.try_send_request(request) => response,
-            () = head_overdue(&mut progress, &mut on_response_start) => return Err(SendRequestError::InvalidResponse),
+            () = head_overdue(&mut progress, &mut on_response_start) =>
+                return Err(SendRequestError::InvalidResponse),
         };
         if let (Ok(_), Some(on_response_start)) = (&response, on_response_start) {
             on_response_start();
--- a/src/forwarder/http/interruption.rs
+++ b/src/forwarder/http/interruption.rs
@@ -1,10 +1,10 @@
-//! Operations on sockets that a signal interrupts.
+//! Repeats socket operations that a signal has interrupted.
 
 use std::io;
 use std::task::{Context, Poll};
 
-/// Makes the caller poll again if a signal has interrupted the operation, which has had no effect then. Other tasks
-/// run in between.
+/// Makes the caller poll again if a signal has interrupted the operation, which had no effect in that case.
+/// Other tasks run in between.
 pub(crate) fn repeat_if_interrupted<T>(
     poll: Poll<io::Result<T>>,
     context: &Context<'_>,
--- a/src/forwarder/http/mod.rs
+++ b/src/forwarder/http/mod.rs
@@ -1,7 +1,7 @@
 //! A client for HTTP/1.1 connections that carry one request at a time.
 //!
-//! A request is never sent twice. Clients with a connection pool may send one again on another connection, and the
-//! message in it could then be executed twice.
+//! A request is never sent twice. Clients with a connection pool may resend a request on another connection,
+//! and its message could then be executed twice.
 
 mod connect;
 mod connection;
@@ -23,18 +23,18 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The time that the head of a response may take from its first byte, and then the time that its body may take. It is
+/// Maximum time from the first byte of a response to the end of its head, and then to read its body. It is
 /// short, because endpoints write a complete response at once.
 const RESPONSE_COMPLETION_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Reads the body of a response that is written at once. Returns `None` if the body is longer than `max_bytes`, ends
-/// early or takes too long.
-pub(crate) async fn read_prompt_body(incoming: Incoming, max_bytes: usize) -> Option<Bytes> {
+/// Reads the body of a response within [`RESPONSE_COMPLETION_TIMEOUT`]. Returns `None` if the body is longer
+/// than `max_bytes`, ends early or takes too long.
+pub(crate) async fn read_body_with_timeout(incoming: Incoming, max_bytes: usize) -> Option<Bytes> {
     timeout(RESPONSE_COMPLETION_TIMEOUT, read_body(incoming, max_bytes)).await.ok()?
 }
 
-/// Reads the body of a response, however long that takes. Returns `None` if the body is longer than `max_bytes` or ends
-/// early.
+/// Reads the body of a response, however long that takes. Returns `None` if the body is longer than
+/// `max_bytes` or ends early.
 pub(crate) async fn read_body(incoming: Incoming, max_bytes: usize) -> Option<Bytes> {
     read_body_observed(incoming, max_bytes, || {}).await
 }
--- a/src/forwarder/http/observed_read.rs
+++ b/src/forwarder/http/observed_read.rs
@@ -1,4 +1,4 @@
-//! Reading from a stream whose bytes are also shown to an observer.
+//! Reads from a stream and passes the bytes to an observer as well.
 
 use super::repeat_if_interrupted;
 use std::io;
@@ -6,8 +6,8 @@
 use std::task::{Context, Poll};
 use tokio::io::{AsyncRead, ReadBuf};
 
-/// Polls `stream` for a read into `buffer` and passes the newly read bytes, if there are any, to `observe`. An
-/// interrupted read is repeated.
+/// Polls `stream` for a read into `buffer` and passes the newly read bytes, if there are any, to `observe`.
+/// An interrupted read is repeated.
 pub(crate) fn poll_read_observed<S: AsyncRead + Unpin>(
     stream: &mut S,
     context: &mut Context<'_>,
--- a/src/forwarder/http/response_status/mod.rs
+++ b/src/forwarder/http/response_status/mod.rs
@@ -1,7 +1,7 @@
 //! Records the status line of each response before the HTTP parser reads it.
 //!
-//! If the head of a response is damaged after the status line, the parser returns an error without the status. The
-//! status is valid nevertheless, and shows whether a message was delivered.
+//! If the head of a response is damaged after the status line, the parser returns an error without the
+//! status. The status is valid nevertheless, and shows whether a message was delivered.
 
 use super::{poll_read_observed, repeat_if_interrupted};
 use hyper::StatusCode;
@@ -13,7 +13,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::sync::watch;
 
-/// The longest start of a line that is buffered. A status line is recognized by its first bytes.
+/// Maximum number of bytes of a line that are buffered. A status line is recognized by its first bytes.
 const MAX_LINE_BYTES: usize = 256;
 
 /// How much of a response has arrived.
@@ -34,7 +34,7 @@
     line: Vec<u8>,
     /// The current line belongs to the head of an interim response.
     in_interim_head: bool,
-    /// A line arrived that is not a status line where one was expected, so that no status is reported.
+    /// A line arrived that is not a status line where one was expected. No status is reported then.
     is_invalid: bool,
 }
 
@@ -100,7 +100,7 @@
     parser: StatusLineParser,
     /// Shared with the [`super::Connection`], which resets it to `NotStarted` before each request.
     progress: watch::Sender<ResponseProgress>,
-    /// Shared with the [`super::Connection`]. Set once bytes could not be written.
+    /// Shared with the [`super::Connection`]. Set once a write has failed.
     write_failed: Arc<AtomicBool>,
 }
 
@@ -124,8 +124,12 @@
     }
 }
 
-/// Reports to `progress` how much of a response has arrived with the `newly_read` bytes.
-fn record(parser: &mut StatusLineParser, progress: &watch::Sender<ResponseProgress>, newly_read: &[u8]) {
+/// Updates `progress` after the `newly_read` bytes have arrived.
+fn record_bytes(
+    parser: &mut StatusLineParser,
+    progress: &watch::Sender<ResponseProgress>,
+    newly_read: &[u8],
+) {
     let before = *progress.borrow();
     if matches!(before, ResponseProgress::StatusReceived(_)) {
         return;
@@ -144,7 +148,7 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let StatusRecordingStream { stream, parser, progress, .. } = &mut *self;
-        poll_read_observed(stream, context, buffer, |newly_read| record(parser, progress, newly_read))
+        poll_read_observed(stream, context, buffer, |newly_read| record_bytes(parser, progress, newly_read))
     }
 }
 
