--- a/src/forwarder/clock/file_identity.rs
+++ b/src/forwarder/clock/file_identity.rs
@@ -1,15 +1,15 @@
-//! Tells a file from another one at the same path.
+//! Distinguishes a file from another one that is created later at the same path.
 
 use serde::{Deserialize, Serialize};
 use std::fs;
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// Identifies a file that is created anew and never changed afterwards.
+/// Identifies a file that may be replaced but is never modified.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct FileIdentity {
     inode: u64,
-    /// When the inode was last changed. Only compared, since it is a time of the wall clock.
+    /// The change time of the inode. It is only compared for equality, because it comes from the wall clock.
     changed_at_seconds: i64,
     changed_at_nanoseconds: i64,
 }
--- a/src/forwarder/clock/mod.rs
+++ b/src/forwarder/clock/mod.rs
@@ -1,9 +1,10 @@
-//! Unix time that no step of the wall clock changes, for times that are stored for another process.
+//! Unix time that is unaffected by steps of the wall clock, for times that are stored for another process.
 //!
-//! Deadlines, idempotency windows and remembered outcomes are spans of real time. The wall clock measures them only
-//! as long as nobody sets it; so each process reads it once at most, and counts on with the monotonic clock
-//! ([`UnixClock`]). The next process with the same state folder continues this [`Timeline`] from a small file
-//! ([`stored_anchor`]), unless it cannot tell that the file, the journal and the monotonic clock belong together.
+//! Deadlines, idempotency windows and remembered outcomes are periods of real time, which the wall clock
+//! measures wrongly when it is set. Each process therefore takes the time from the wall clock at most once,
+//! and derives later times from the monotonic clock ([`UnixClock`]). The next process with the same state
+//! folder continues this [`Timeline`] from a small file ([`stored_anchor`]), unless it cannot verify that the
+//! file, the journal and the monotonic clock belong together.
 
 mod file_identity;
 mod stored_anchor;
--- a/src/forwarder/clock/stored_anchor/format_tests.rs
+++ b/src/forwarder/clock/stored_anchor/format_tests.rs
@@ -1,8 +1,8 @@
-//! The file that later versions have to read.
+//! Checks the format of the file, which other versions of the program read.
 
 use super::*;
 
-/// The file up to the spaces.
+/// The content of the file without the padding.
 const LINE: &str = concat!(
     "d11f9525 ",
     r#"{"monotonic_id":"id","monotonic_us":5000000000,"unix_us":1800000000000000,"#,
--- a/src/forwarder/clock/stored_anchor/mod.rs
+++ b/src/forwarder/clock/stored_anchor/mod.rs
@@ -1,7 +1,8 @@
 //! The file that ties Unix time to the monotonic clock.
 //!
-//! It has one line: a CRC-32 in hexadecimal and a JSON object, filled up with spaces to a fixed length. It is written
-//! by one write over the previous content, so that a process that is killed leaves either the old line or the new one.
+//! The file has one line: a CRC-32 in hexadecimal and a JSON object, padded with spaces to a fixed length. A
+//! single write replaces the previous content, so that a process that is killed leaves either the old line or
+//! the new one.
 
 use super::file_identity::FileIdentity;
 use serde::{Deserialize, Serialize};
@@ -10,12 +11,12 @@
 use std::os::unix::fs::FileExt;
 use std::path::Path;
 
-/// Length of the file in bytes: one unit of the disk limit.
+/// Length of the file in bytes: one block, the unit of the disk limit.
 const FILE_BYTES: usize = 512;
-/// Separates the checksum from the object.
+/// Separates the checksum from the JSON object.
 const SEPARATOR: char = ' ';
 
-/// One moment on the monotonic clock and in Unix time. The serialized names are part of the file format.
+/// A moment on the monotonic clock and its Unix time. The serialized names are part of the file format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct StoredAnchor {
     /// Identifies the monotonic clock.
@@ -37,8 +38,8 @@
     /// The content does not match its checksum.
     #[error("the file is damaged")]
     Damaged,
-    /// The content has another form.
-    #[error("unknown content: {0}")]
+    /// The content is not JSON of the expected form.
+    #[error("unexpected content: {0}")]
     Json(#[from] serde_json::Error),
     /// The content does not fit into the file.
     #[error("the content is too long")]
--- a/src/forwarder/clock/system_clocks.rs
+++ b/src/forwarder/clock/system_clocks.rs
@@ -5,22 +5,22 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
-/// An id that the kernel creates when it starts.
+/// Contains an id that the kernel generates at each boot.
 const BOOT_ID_FILE: &str = "/proc/sys/kernel/random/boot_id";
 /// The time namespace of this process. The monotonic clocks of two namespaces may differ.
 const TIME_NAMESPACE_LINK: &str = "/proc/self/ns/time";
-/// A reading of several clocks that took longer than this is repeated.
+/// A reading of all clocks that takes longer than this is repeated.
 const MAX_READING_SPAN: Duration = Duration::from_millis(1);
-/// Upper bound of the readings. The shortest one counts if all of them took too long.
+/// Maximum number of readings. If all of them take too long, the shortest one is used.
 const MAX_READINGS: usize = 5;
 
-/// Where the time comes from.
+/// The system clocks that a timeline reads.
 pub(crate) trait SystemClocks {
-    /// Time since an unknown moment that is the same for all processes between two starts of the kernel. It is
-    /// never set.
+    /// The time since an arbitrary moment, which is the same for all processes until the kernel restarts.
+    /// `None` if the clock cannot be read. This clock is never set.
     fn monotonic(&self) -> Option<Duration>;
 
-    /// The Unix time of the wall clock, which may be set at any time. Zero before 1970.
+    /// The Unix time of the wall clock, which may be set at any time; zero before 1970.
     fn wall(&self) -> Duration;
 
     /// Identifies the monotonic clock: processes with the same id read the same clock.
@@ -47,17 +47,17 @@
     }
 }
 
-/// All clocks at one moment, or nearly so.
+/// A reading of all clocks at nearly the same moment.
 #[derive(Clone, Copy)]
 pub(super) struct ClockReading {
-    /// Not after the other two.
+    /// Read before the other clocks.
     pub(super) instant: Instant,
     pub(super) monotonic: Option<Duration>,
     pub(super) wall: Duration,
 }
 
 impl ClockReading {
-    /// Reads the clocks, again if the process was held up in between.
+    /// Reads all clocks. Repeats this if it took too long: the clocks were then read at different moments.
     pub(super) fn take(clocks: &impl SystemClocks) -> Self {
         let mut shortest = timed_reading(clocks);
         for _ in 1..MAX_READINGS {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Reads the clocks, and measures how long that took.
+/// Reads all clocks, and measures how long that took.
 fn timed_reading(clocks: &impl SystemClocks) -> (ClockReading, Duration) {
     let instant = Instant::now();
     let reading = ClockReading { instant, monotonic: clocks.monotonic(), wall: clocks.wall() };
--- a/src/forwarder/clock/tests.rs
+++ b/src/forwarder/clock/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the timeline on clocks that can be set, and what they share with other tests.
+//! Tests of the timeline with clocks that can be set, and the helpers that they share with other tests.
 
 use super::stored_anchor::StoredAnchor;
 use super::*;
@@ -10,11 +10,11 @@
 
 /// The steps of the wall clock, in seconds.
 pub(crate) const STEPS: [i64; 4] = [1, -1, 3600, -3600];
-/// The wall clock at the start of each test.
+/// The Unix time of the wall clock at the start of each test.
 const START: Duration = Duration::from_secs(1_800_000_000);
 
-/// A machine with a state folder, whose clocks the test sets. The folder is removed when it is dropped. Tests that use
-/// it pause the time of tokio, so that no time passes but by [`Self::advance`].
+/// A machine with a state folder and with clocks that the test sets. Dropping it removes the folder. Tests
+/// that use it pause the time of tokio, so that time passes only by [`Self::advance`].
 pub(crate) struct Machine {
     pub(crate) folder: PathBuf,
     monotonic: Cell<Duration>,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The timeline of a process that starts now.
+    /// Opens the timeline as a process does that starts now.
     pub(crate) fn start_process(&self) -> Timeline<&Self> {
         Timeline::open(&self.folder, self.owner_socket(), self)
     }
@@ -53,7 +53,7 @@
         self.wall.set(self.wall.get() + time);
     }
 
-    /// Sets the wall clock forward, or back.
+    /// Steps the wall clock forward, or back if `seconds` is negative.
     pub(crate) fn step_wall(&self, seconds: i64) {
         let step = Duration::from_secs(seconds.unsigned_abs());
         let wall = self.wall.get();
@@ -72,9 +72,9 @@
         self.folder.join("clock")
     }
 
-    /// What each owner of the journal does, whatever its version.
+    /// Creates the socket anew, as each owner of the journal does in every version of the program.
     pub(crate) fn create_owner_socket(&self) {
-        // Renamed, so that the inode of the previous one cannot be used again.
+        // Renamed over the previous socket, so that the inode of that one is not reused.
         let new = self.folder.join("new-socket");
         fs::write(&new, b"").and_then(|()| fs::rename(new, self.owner_socket())).expect("a writable folder");
     }
@@ -124,7 +124,7 @@
         machine.advance(Duration::from_secs(7)).await;
         let mut second = machine.start_process();
         assert_eq!(second.clock().now_unix_ms(), start_ms() + 7000, "step of {step} s");
-        // Another step, this time while a process runs that saves later.
+        // Another step, while a process runs that saves the timeline after it.
         machine.step_wall(step);
         machine.advance(Duration::from_secs(2)).await;
         second.save();
@@ -159,8 +159,8 @@
     assert_eq!(machine.now_of_new_process(), machine.wall_ms());
 }
 
-/// A monotonic clock that starts at zero with each process shows only that it is earlier than when the file was saved
-/// last, so the file is saved throughout the life of a process.
+/// On a system whose monotonic clock restarts with each process, this is detected only if the clock is before
+/// the last saved time. Therefore a running process keeps saving the file.
 #[tokio::test(start_paused = true)]
 async fn the_timeline_is_saved_at_intervals() {
     let machine = Machine::new();
@@ -194,7 +194,7 @@
         fs::write(machine.clock_file(), &saved[..length]).expect("a writable folder");
         assert_eq!(machine.now_of_new_process(), machine.wall_ms(), "{length} bytes");
     }
-    // Saving repairs it.
+    // A save replaces the damaged content.
     machine.start_process().save();
     machine.step_wall(3600);
     assert_eq!(machine.now_of_new_process(), machine.wall_ms() - 3_600_000);
@@ -208,7 +208,7 @@
     timeline.save();
     timeline.save();
     assert_eq!(timeline.clock().now_unix_ms(), machine.wall_ms());
-    // Nor does a folder that is not there.
+    // The folder is missing.
     fs::remove_dir_all(&machine.folder).expect("it is there");
     let mut timeline = machine.start_process();
     timeline.save();
@@ -226,7 +226,7 @@
     timeline.save();
 }
 
-/// An earlier version of the program, which ignores the file, writes the times of the wall clock to the journal.
+/// An earlier version of the program ignores the file and writes times of the wall clock to the journal.
 #[tokio::test(start_paused = true)]
 async fn after_a_process_that_does_not_know_the_timeline_the_wall_clock_is_used() {
     let machine = Machine::new();
@@ -234,11 +234,11 @@
     machine.start_process().save();
     machine.step_wall(3600);
     assert_eq!(machine.now_of_new_process(), start_ms());
-    // The earlier version runs.
+    // A process of the earlier version runs.
     machine.create_owner_socket();
     let mut next = machine.start_process();
     assert_eq!(next.clock().now_unix_ms(), machine.wall_ms());
-    // The timeline that begins now is continued, also across the creation of the socket.
+    // The timeline that starts here is continued, also after the socket is created.
     machine.create_owner_socket();
     next.save();
     machine.step_wall(3600);
@@ -246,7 +246,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_file_takes_one_unit_of_the_disk_limit() {
+async fn the_file_takes_one_disk_block() {
     let machine = Machine::new();
     machine.create_owner_socket();
     *machine.monotonic_id.borrow_mut() = KernelClocks.monotonic_id().or(Some("id".to_owned()));
--- a/src/forwarder/clock/unix_clock.rs
+++ b/src/forwarder/clock/unix_clock.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Maps the instants of the monotonic clock to Unix time. The mapping is fixed for the lifetime of the process: a
-/// step of the wall clock does not change it.
+/// Maps the instants of the monotonic clock to Unix time. The mapping is fixed for the lifetime of the
+/// process: a step of the wall clock does not change it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct UnixClock {
     anchor: Instant,
@@ -13,12 +13,12 @@
 }
 
 impl UnixClock {
-    /// The clock on which this instant has this Unix time.
+    /// Creates a clock that maps `anchor` to `unix_time`.
     pub(super) fn new(anchor: Instant, unix_time: Duration) -> Self {
         UnixClock { anchor, unix_time }
     }
 
-    /// The Unix time of an instant; zero for instants before 1970.
+    /// The Unix time of an instant; zero if the instant is before 1970.
     pub(super) fn unix_time(&self, instant: Instant) -> Duration {
         match instant.checked_duration_since(self.anchor) {
             Some(elapsed) => self.unix_time.saturating_add(elapsed),
@@ -31,7 +31,7 @@
         u64::try_from(self.unix_time(instant).as_millis()).unwrap_or(u64::MAX)
     }
 
-    /// The present Unix time in milliseconds.
+    /// The current Unix time in milliseconds.
     pub(crate) fn now_unix_ms(&self) -> u64 {
         self.unix_ms(Instant::now())
     }
