--- a/src/forwarder/departed_endpoints/mod.rs
+++ b/src/forwarder/departed_endpoints/mod.rs
@@ -1,9 +1,9 @@
-//! The endpoints that the list has taken out of service, stored for the next process.
+//! Stores which endpoints have left service, for the next process.
 //!
-//! A process starts with the list in its configuration, which may be older than the last one that the process before it
-//! had. Without this file it would call endpoints that are known to drain.
+//! A process starts with the endpoint list in its configuration, which may be older than the last list that
+//! an earlier process received. Without this file it would call endpoints that are known to drain.
 //!
-//! The file has one line: a CRC-32 in hexadecimal and a JSON object. It is replaced as a whole by a rename, so that a
+//! The file has one line: a CRC-32 in hexadecimal and a JSON object. A new file is renamed over it, so that a
 //! process that is killed leaves either the old line or the new one.
 
 use super::messages::endpoint_list::{EndpointList, EndpointRecord, LifecycleState};
@@ -15,56 +15,60 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The name of the file in the state folder.
+/// Name of the file in the state folder.
 const FILE_NAME: &str = "departed";
-/// The file that replaces it once it is complete.
+/// Name of the file that is written and then renamed to [`FILE_NAME`].
 const NEW_FILE_NAME: &str = "departed.new";
-/// The file may have this many bytes for each MB of the disk limit. While it is replaced there are two of it.
+/// Maximum size of the file per MB of the disk limit. Two files of this size exist while one replaces the
+/// other.
 const BYTES_PER_DISK_MB: f64 = 1e4;
-/// What the file contains beside the ids, at most.
-const FRAME_BYTES: usize = 128;
-/// What an id takes in the file beside its text: quotation marks and a comma.
-const ID_FRAME_BYTES: usize = 3;
-/// The time between two writes that fail.
+/// Upper bound of the bytes in the file beside the ids.
+const MAX_OVERHEAD_BYTES: usize = 128;
+/// Bytes that an id takes in the file beside its text: two quotation marks and a comma.
+const ID_OVERHEAD_BYTES: usize = 3;
+/// Delay after a failed write.
 const RETRY_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The content of the file. The serialized names are part of the file format.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 struct StoredDepartures {
-    /// The highest revision of a list so far. A service that has started again counts from a lower one.
+    /// The highest revision of the lists recorded so far. A restarted discovery service counts from a lower
+    /// one.
     revision: u64,
-    /// The ids of the endpoints that are not in service in it, the latest last.
+    /// The ids of the endpoints that have left service and have not returned, latest departure last.
     uids: VecDeque<String>,
 }
 
-/// Why the file cannot be read.
+/// Why the departures cannot be read from the file.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error("{0}")]
     Io(#[from] io::Error),
     #[error("the file is damaged")]
     Damaged,
-    #[error("unknown content: {0}")]
+    #[error("unexpected content: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Owns the file.
+/// The endpoints that have left service, and the file that stores them.
 pub(crate) struct DepartedEndpoints {
     folder: PathBuf,
     max_bytes: usize,
     departures: StoredDepartures,
-    /// The ids in `departures`: lists have thousands of endpoints.
+    /// The ids in `departures`, as a set for fast lookup: lists have thousands of endpoints.
     uids: HashSet<String>,
-    /// Not all of it is stored.
-    is_changed: bool,
+    /// Whether there are changes that are not in the file.
+    has_unsaved_changes: bool,
+    /// After a failed write, when the next one is allowed.
     retry_at: Option<Instant>,
 }
 
 impl DepartedEndpoints {
-    /// Reads what the process before has stored in the state folder. An unreadable file counts as empty.
+    /// Reads the departures that earlier processes have stored in the state folder. An unreadable file counts
+    /// as empty.
     pub(crate) fn open(folder: &Path, disk_mb: f64) -> Self {
         let departures = StoredDepartures::read(&folder.join(FILE_NAME)).unwrap_or_else(|error| {
-            eprintln!("runtime: the endpoints that left service are unknown: {error}");
+            eprintln!("runtime: cannot read the endpoints that left service, assuming none: {error}");
             StoredDepartures::default()
         });
         DepartedEndpoints {
@@ -72,18 +76,19 @@
             max_bytes: (disk_mb * BYTES_PER_DISK_MB) as usize,
             uids: departures.uids.iter().cloned().collect(),
             departures,
-            is_changed: false,
+            has_unsaved_changes: false,
             retry_at: None,
         }
     }
 
-    /// Whether a list is older than the last one that was recorded, or the service has started again since. Changes since
-    /// its revision may not suffice then.
+    /// Whether the revision of a list is lower than a recorded one. The list is then older, or comes from a
+    /// restarted discovery service; the changes since its revision may be incomplete.
     pub(crate) fn is_older(&self, list: &EndpointList) -> bool {
         list.revision < self.departures.revision
     }
 
-    /// The list of the configuration, in which the stored endpoints drain if it is older than they are.
+    /// Returns the list of the configuration. If it is older than the last recorded list, the departed
+    /// endpoints in it are set to draining.
     pub(crate) fn update_known_list(&self, known: &EndpointList) -> EndpointList {
         let is_older = self.is_older(known);
         let update = |record: &EndpointRecord| {
@@ -102,8 +107,13 @@
         }
     }
 
-    /// Records a list of the service, or changes to it. `listed` are the ids of the endpoints that were in service before.
-    pub(crate) fn record<'a>(&mut self, list: &EndpointList, listed: impl Iterator<Item = &'a str>) {
+    /// Records a list from discovery, or changes to the list. `previously_in_service` are the ids of the
+    /// endpoints that were in service before it.
+    pub(crate) fn record<'a>(
+        &mut self,
+        list: &EndpointList,
+        previously_in_service: impl Iterator<Item = &'a str>,
+    ) {
         let in_service = |record: &&EndpointRecord| record.state == LifecycleState::InService;
         for record in list.endpoints.iter().filter(in_service) {
             self.remove(&record.uid);
@@ -115,29 +125,30 @@
         list.unreadable_uids.iter().for_each(|uid| self.add(uid));
         if list.complete {
             let present: HashSet<&str> = list.endpoints.iter().map(|record| record.uid.as_str()).collect();
-            listed.filter(|uid| !present.contains(uid)).for_each(|uid| self.add(uid));
+            previously_in_service.filter(|uid| !present.contains(uid)).for_each(|uid| self.add(uid));
         }
         if !self.departures.uids.is_empty() {
-            self.is_changed |= self.departures.revision < list.revision;
+            self.has_unsaved_changes |= self.departures.revision < list.revision;
         }
         self.departures.revision = self.departures.revision.max(list.revision);
         self.drop_oldest();
     }
 
-    /// Writes the file if something has changed. While the folder fails, it is tried again from time to time.
+    /// Writes the file if there are unsaved changes. A failed write is retried after [`RETRY_INTERVAL`]; only
+    /// the first of consecutive failures is logged.
     pub(crate) fn save_if_changed(&mut self) {
         let now = Instant::now();
-        if !self.is_changed || self.retry_at.is_some_and(|retry_at| now < retry_at) {
+        if !self.has_unsaved_changes || self.retry_at.is_some_and(|retry_at| now < retry_at) {
             return;
         }
         match self.departures.write(&self.folder) {
             Ok(()) => {
-                self.is_changed = false;
+                self.has_unsaved_changes = false;
                 self.retry_at = None;
             }
             Err(error) => {
                 if self.retry_at.is_none() {
-                    eprintln!("runtime: cannot store the endpoints that left service: {error}");
+                    eprintln!("runtime: cannot store the endpoints that left service, retrying: {error}");
                 }
                 self.retry_at = Some(now + RETRY_INTERVAL);
             }
@@ -151,21 +162,22 @@
     fn remove(&mut self, uid: &str) {
         if self.uids.remove(uid) {
             self.departures.uids.retain(|departed| departed != uid);
-            self.is_changed = true;
+            self.has_unsaved_changes = true;
         }
     }
 
     fn add(&mut self, uid: &str) {
         if self.uids.insert(uid.to_owned()) {
             self.departures.uids.push_back(uid.to_owned());
-            self.is_changed = true;
+            self.has_unsaved_changes = true;
         }
     }
 
-    /// Keeps the file within its limit. The oldest departures are the first that a list in a configuration has too.
+    /// Drops the oldest departures until the file is within its limit. A list in a configuration is most
+    /// likely to already reflect those.
     fn drop_oldest(&mut self) {
-        let size = |uid: &String| uid.len() + ID_FRAME_BYTES;
-        let mut bytes = FRAME_BYTES + self.departures.uids.iter().map(size).sum::<usize>();
+        let size = |uid: &String| uid.len() + ID_OVERHEAD_BYTES;
+        let mut bytes = MAX_OVERHEAD_BYTES + self.departures.uids.iter().map(size).sum::<usize>();
         while bytes > self.max_bytes
             && let Some(oldest) = self.departures.uids.pop_front()
         {
@@ -176,7 +188,7 @@
 }
 
 impl StoredDepartures {
-    /// Reads the file; nothing if there is none.
+    /// Reads the file. A missing file counts as empty.
     fn read(path: &Path) -> Result<Self, ReadError> {
         match fs::read_to_string(path) {
             Ok(content) => StoredDepartures::decode(&content),
--- a/src/forwarder/departed_endpoints/tests.rs
+++ b/src/forwarder/departed_endpoints/tests.rs
@@ -4,7 +4,7 @@
 use std::process;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder that is removed when this is dropped.
+/// A temporary folder, removed when the value is dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -40,7 +40,7 @@
     uids.iter().map(|uid| record(uid, "in_service")).collect()
 }
 
-/// Which endpoints of a known list of this revision the next process may call.
+/// The endpoints that the next process may call if its configuration has a list of this revision.
 fn callable_after_restart(folder: &Folder, revision: u64) -> Vec<String> {
     let known = list(revision, true, &in_service(&["a", "b", "c"]));
     let updated = folder.open().update_known_list(&known);
@@ -64,7 +64,7 @@
         departed.record(&list, ["a", "b", "c"].into_iter());
         departed.save_if_changed();
         assert_eq!(callable_after_restart(&folder, 4), callable, "{name}");
-        assert_eq!(callable_after_restart(&folder, 5), ["a", "b", "c"], "{name}: the known list is as new");
+        assert_eq!(callable_after_restart(&folder, 5), ["a", "b", "c"], "{name}: the known list is current");
     }
 }
 
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failing_folder_is_tried_again() {
+async fn a_failed_write_is_retried() {
     let folder = Folder::create();
     let mut departed = folder.open();
     fs::create_dir(folder.0.join(NEW_FILE_NAME)).expect("it is writable");
