--- a/src/forwarder/notices/mod.rs
+++ b/src/forwarder/notices/mod.rs
@@ -1,7 +1,7 @@
 //! Sends notices to the platform about accepted messages that were not delivered.
 //!
-//! Notices are sent in batches, and each batch is retried until the platform acknowledges it. A notice that arrives
-//! twice is harmless, while a message without its notice would be lost unnoticed.
+//! Notices are sent in batches, and each batch is retried until the platform acknowledges it. A notice that
+//! arrives twice is harmless, while a message without its notice would be lost unnoticed.
 
 use crate::forwarder::discovery_client::{Backoff, CallError, DiscoveryClient, address_changed};
 use crate::forwarder::event::RuntimeEvent;
@@ -17,21 +17,21 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// Timeout of a call. The platform acknowledges immediately, even while discovery is down. This timeout and that of
-/// connecting are short because a notice must arrive soon after the deadline of its message.
+/// Timeout of a call. The platform acknowledges immediately, even during an outage of discovery. This timeout
+/// and [`CONNECT_TIMEOUT`] are short because a notice must arrive soon after the deadline of its message.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Timeout of connecting to the platform.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 /// Delay after the first failed attempt to send a batch.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(20);
-/// Longest delay after failed attempts.
+/// Longest delay after a failed attempt to send a batch.
 const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Sends each batch until it is acknowledged, and reports that to the runtime, until the runtime closes
-/// `batches` or stops receiving events.
+/// Sends each batch until it is acknowledged, and then reports it to the runtime. Returns when the runtime
+/// has closed `batches` or no longer receives events.
 ///
-/// The runtime holds the other ends of both bounded channels. It queues notices while a batch is being sent, so
-/// that `batches` needs a capacity of one only.
+/// The runtime holds the other ends of both bounded channels. It queues notices while a batch is sent, so
+/// `batches` needs only a capacity of one.
 pub(crate) async fn send_all(
     address: watch::Receiver<SocketAddr>,
     mut batches: Receiver<Vec<Notice>>,
@@ -46,7 +46,7 @@
     }
 }
 
-/// The connection to the platform.
+/// Sends notices on one connection to the platform, whose address may change.
 struct NoticeSender {
     address: watch::Receiver<SocketAddr>,
     client: DiscoveryClient,
@@ -57,26 +57,26 @@
         let body = encode(batch);
         let mut backoff = Backoff::new(INITIAL_BACKOFF, MAX_BACKOFF);
         loop {
-            let address = self.follow_address();
-            // A call to an earlier address is cancelled: the batch is sent to the new one at once.
+            let address = self.refresh_address();
+            // If the address changes, the call is cancelled and the batch is sent to the new address at once.
             let result = tokio::select! {
                 biased;
                 result = post(&mut self.client, address, body.clone()) => result,
                 Ok(()) = address_changed(&self.address) => continue,
             };
             let Err(error) = result else { return };
-            eprintln!("notices: {error}; {} to retry", batch.len());
+            eprintln!("notices: {error}; retrying a batch of {} notices", batch.len());
             self.client.disconnect();
             tokio::select! {
                 () = sleep(backoff.next_delay()) => {}
-                // The new address may be available, so that it is called immediately.
+                // The new address may be reachable, so it is called immediately.
                 Ok(()) = address_changed(&self.address) => backoff.reset(),
             }
         }
     }
 
-    /// Returns the current address, and closes a connection that was opened before it was set.
-    fn follow_address(&mut self) -> SocketAddr {
+    /// Returns the current address. If it has changed, closes the connection to the previous one.
+    fn refresh_address(&mut self) -> SocketAddr {
         if self.address.has_changed().unwrap_or(false) {
             self.client.disconnect();
         }
--- a/src/forwarder/notices/tests.rs
+++ b/src/forwarder/notices/tests.rs
@@ -9,7 +9,7 @@
 /// Timeout of every event that a test waits for.
 const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The platform. The test reads its requests and writes its responses.
+/// A platform whose requests and responses the test reads and writes.
 struct Platform(TcpListener);
 
 impl Platform {
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reads one request; its first line and its body.
+/// Reads one request, and returns its request line and its body.
 async fn read_request(stream: &mut TcpStream) -> io::Result<(String, String)> {
     let mut text = String::new();
     loop {
@@ -110,7 +110,7 @@
     assert!(fixture.events.try_recv().is_err(), "nothing is acknowledged before the response");
     respond(&mut stream, "204 No Content").await;
     assert_eq!(fixture.acknowledged().await, sent);
-    // The next batch travels on the same connection.
+    // The next batch is sent on the same connection.
     fixture.batches.send(batch(&["d"])).await.expect("the sender receives batches");
     read_request(&mut stream).await.expect("a second request");
     respond(&mut stream, "204 No Content").await;
