--- a/src/forwarder/metrics/mod.rs
+++ b/src/forwarder/metrics/mod.rs
@@ -1,4 +1,4 @@
-//! Counts of attempts, connections and dropped messages, which are logged at intervals.
+//! Metrics of messages, attempts and connections, which are logged at intervals.
 
 use crate::forwarder::messages::call_report::ConnectionUsage;
 use crate::interface::Outcome;
@@ -9,25 +9,26 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often the counts are logged.
+/// Interval between two log lines.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// The largest number of endpoints with a log line of their own.
+/// Maximum number of endpoints that are logged individually.
 const MAX_LOGGED_ENDPOINTS: usize = 3;
 
-/// Why a message was not accepted or not delivered.
+/// Why a message was not accepted or not delivered. The names of the variants are written to the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DropReason {
     /// The maximum number of open messages is reached.
     TooManyOpenMessages,
-    /// The journal has no capacity for it.
+    /// The journal is full or cannot be written.
     JournalFull,
-    /// The client disconnected before it got the reply.
+    /// The client disconnected before it received the reply.
     ClientDisconnected,
-    /// The decision module rejected it.
+    /// The decision module rejected the message.
     Rejected,
-    /// The decision module failed it: it may have been executed.
+    /// The decision module failed the message, which may have been executed.
     Failed,
-    /// It was accepted by an earlier process and never attempted. Counted in addition to `Rejected` or `Failed`.
+    /// The message was accepted by an earlier process and never attempted. Counted in addition to `Rejected`
+    /// or `Failed`.
     NeverAttempted,
 }
 
@@ -44,16 +45,15 @@
 /// Counts since the last log line. `Display` writes the text of the line.
 #[derive(Debug)]
 pub(crate) struct IntervalMetrics {
-    /// When the interval started.
-    since: Instant,
+    started_at: Instant,
     accepted: usize,
     dropped: BTreeMap<DropReason, usize>,
     /// Attempts by outcome.
     attempts: BTreeMap<&'static str, usize>,
-    /// How long calls occupied call slots, by the outcome of the attempt in them that ended last.
+    /// The time for which calls occupied call slots, by the outcome of the last attempt of the call.
     slot_time: BTreeMap<&'static str, Duration>,
     opened_connections: usize,
-    /// Connections that were not established, by reason.
+    /// Connections that could not be established, by kind of error.
     failed_connections: BTreeMap<String, usize>,
     endpoints: BTreeMap<SocketAddr, EndpointMetrics>,
 }
@@ -62,7 +62,7 @@
     /// Starts an interval.
     pub(crate) fn new() -> Self {
         IntervalMetrics {
-            since: Instant::now(),
+            started_at: Instant::now(),
             accepted: 0,
             dropped: BTreeMap::new(),
             attempts: BTreeMap::new(),
@@ -83,7 +83,7 @@
         *self.dropped.entry(reason).or_default() += 1;
     }
 
-    /// Records the end of a call to this address: the connections that it opened or failed to open.
+    /// Records the connections that an ended call to this address opened or failed to open.
     pub(crate) fn record_connections(&mut self, address: SocketAddr, usage: ConnectionUsage) {
         let endpoint = self.endpoints.entry(address).or_default();
         endpoint.opened_connections += usage.opened;
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Records the end of an attempt that was sent to this address `latency` ago. `call_ended` tells whether its call
-    /// ended with it.
+    /// Records the end of an attempt that was sent to this address `latency` ago. `call_ended` is whether its
+    /// call ended too.
     pub(crate) fn record_attempt(
         &mut self,
         address: SocketAddr,
@@ -114,9 +114,9 @@
         endpoint.max_latency = endpoint.max_latency.max(latency);
     }
 
-    /// If a log line is due, starts the next interval, and returns this one if anything happened in it.
+    /// If a log line is due, starts the next interval, and returns the ended one unless it is empty.
     pub(crate) fn take_if_due(&mut self) -> Option<IntervalMetrics> {
-        if self.since.elapsed() < LOG_INTERVAL {
+        if self.started_at.elapsed() < LOG_INTERVAL {
             return None;
         }
         let interval = std::mem::replace(self, IntervalMetrics::new());
@@ -127,7 +127,7 @@
         self.accepted == 0 && self.dropped.is_empty() && self.attempts.is_empty()
     }
 
-    /// The endpoints with the most failed attempts.
+    /// The endpoints with the most failed attempts, worst first.
     fn worst_endpoints(&self) -> Vec<(&SocketAddr, &EndpointMetrics)> {
         let failing = self.endpoints.iter().filter(|(_, endpoint)| endpoint.failed_attempts > 0);
         let mut worst: Vec<_> = failing.collect();
