--- a/src/forwarder/configuration/error.rs
+++ b/src/forwarder/configuration/error.rs
@@ -1,4 +1,4 @@
-//! The error of reading the configuration.
+//! Errors of reading the configuration.
 
 use crate::key_value::FieldError;
 use std::io;
--- a/src/forwarder/configuration/mod.rs
+++ b/src/forwarder/configuration/mod.rs
@@ -16,24 +16,24 @@
 
 /// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "BALANCER_CONFIG";
-/// Environment variable with the path of the state folder, which outlasts the process.
+/// Environment variable with the path of the state folder, which outlives the process.
 const STATE_VARIABLE: &str = "BALANCER_STATE";
 /// Environment variable that overrides the address for operators. During an upgrade two processes share the
-/// configuration file, but they cannot share the address.
+/// configuration file, but cannot share that address.
 const ADMIN_VARIABLE: &str = "BALANCER_ADMIN";
 
-/// Bounds on the resources of the process.
+/// Limits on the resources of the process.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub(crate) struct ResourceLimits {
     /// Memory, in MiB.
     pub(crate) memory_mb: usize,
     /// Open file descriptors.
     pub(crate) sockets: usize,
-    /// Disk space for the journal, in MB.
+    /// Disk space for the files of the state folder, in MB.
     pub(crate) disk_mb: f64,
 }
 
-/// The configuration file, as it is written. Fields that the forwarder does not use are ignored.
+/// The content of the configuration file. Unknown fields are ignored.
 #[derive(Deserialize)]
 struct ConfigFile {
     listen: SocketAddr,
@@ -51,21 +51,21 @@
 pub struct Config {
     /// The address for clients, unless a listener is inherited.
     pub(crate) listen: SocketAddr,
-    /// The address of the platform: of discovery and of the receiver of notices.
+    /// The address of the platform, which serves discovery and receives notices.
     pub(crate) discovery: SocketAddr,
     /// The address for operators; `None` if operators are not served.
     pub(crate) admin: Option<SocketAddr>,
-    /// The folder of the journal and of the files for upgrades. It outlasts the process.
+    /// The folder of the journal and of the files for upgrades. It outlives the process.
     pub(crate) state_folder: PathBuf,
     /// The seed of the decision module's random numbers.
     pub(crate) seed: u64,
-    /// Bounds on the resources of the process.
+    /// Limits on the resources of the process.
     pub(crate) limits: ResourceLimits,
-    /// The endpoint list that was current when the file was written; `None` if it has none that can be parsed.
+    /// The endpoint list at the time when the file was written; `None` if it is missing or cannot be parsed.
     pub(crate) known_endpoints: Option<EndpointList>,
     /// The settings of the decision module.
     pub(crate) settings: Settings,
-    /// The names that clients and discovery use in place of the indices in `settings`.
+    /// The names that clients and discovery use for what `settings` refers to by index.
     pub(crate) setting_names: SettingNames,
 }
 
@@ -123,10 +123,10 @@
     parsed.map(Some).map_err(|source| ConfigError::AdminAddress { variable: ADMIN_VARIABLE, source })
 }
 
-/// Parses the endpoint list of the configuration file. An invalid list is no error: the forwarder only starts to send
-/// calls later, when it has received a list from discovery.
+/// Parses the endpoint list of the configuration file. An invalid list is not an error: the forwarder then
+/// starts calls only after it has received a list from discovery.
 fn parse_known_endpoints(document: Value) -> Option<EndpointList> {
     EndpointList::deserialize(document)
-        .inspect_err(|error| eprintln!("configuration: no known endpoints: {error}"))
+        .inspect_err(|error| eprintln!("configuration: ignoring the known endpoints: {error}"))
         .ok()
 }
--- a/src/forwarder/configuration/setting_pairs/mod.rs
+++ b/src/forwarder/configuration/setting_pairs/mod.rs
@@ -4,8 +4,9 @@
 
 /// Returns settings as pairs of path and value, in the form that they have in the simulator's protocol.
 ///
-/// A path joins the keys of nested objects by dots. A list of plain values becomes one value joined by commas. A list
-/// of objects becomes a `count` and the fields of each object, with its index in their paths. `null` is left out.
+/// A path joins the keys of nested objects by dots. A list of scalars becomes one value joined by commas. A
+/// list of objects becomes a `count` and the fields of each object, with its index in their paths. `null` is
+/// left out.
 pub(super) fn flatten(settings: &Value) -> Vec<(String, String)> {
     let mut pairs = Vec::new();
     append("", settings, &mut pairs);
@@ -38,8 +39,8 @@
     if path.is_empty() { key.to_owned() } else { format!("{path}.{key}") }
 }
 
-/// Returns a scalar as text. Spaces and commas in strings are replaced by underscores, because they separate values
-/// in the flat form.
+/// Returns a scalar as text. Spaces and commas in strings are replaced by underscores, because they separate
+/// values in the flat form.
 fn plain_text(value: &Value) -> String {
     match value.as_str() {
         Some(text) => text.replace([' ', ','], "_"),
