--- a/src/forwarder/descriptor_budget.rs
+++ b/src/forwarder/descriptor_budget.rs
@@ -1,4 +1,4 @@
-//! The allocation of the descriptors of the process to its connections.
+//! Allocates the file descriptors of the process to its connections.
 
 use super::Config;
 use super::admin;
@@ -6,8 +6,8 @@
 /// Descriptors for the standard streams, the async runtime, the listener, the journal and discovery.
 const RESERVED_DESCRIPTORS: usize = 20;
 
-/// How many descriptors connections of each sort may use, so that neither many clients nor many endpoints use up
-/// all of them.
+/// Limits on the connections of each kind, so that neither many clients nor many endpoints use up all
+/// descriptors.
 pub(crate) struct DescriptorBudget {
     /// Connections of clients: two thirds of the descriptors that are not reserved.
     pub(crate) client_connections: usize,
@@ -18,7 +18,7 @@
 impl DescriptorBudget {
     /// Reserves descriptors for calls, operators and the process itself, and allocates the others.
     pub(crate) fn new(config: &Config) -> Self {
-        // The listener for operators takes one as well.
+        // One more for the listener for operators.
         let operators = if config.admin.is_some() { admin::MAX_CONNECTIONS + 1 } else { 0 };
         let calls = config.settings.call_slots;
         let reserved = RESERVED_DESCRIPTORS.saturating_add(operators).saturating_add(calls);
--- a/src/forwarder/inherited_listener.rs
+++ b/src/forwarder/inherited_listener.rs
@@ -1,6 +1,6 @@
 //! The listening socket for clients, if the platform holds it and every process of the forwarder inherits it.
 //!
-//! Clients can connect during an upgrade then, since the socket is never closed.
+//! The socket then stays open during an upgrade, so that clients can always connect.
 
 use std::env;
 use std::fs;
@@ -10,14 +10,14 @@
 
 /// The environment variable that contains the number of the inherited descriptor.
 const DESCRIPTOR_VARIABLE: &str = "BALANCER_FD";
-/// The last of the standard streams. None of them is adopted as a listener.
+/// The highest descriptor of a standard stream. A standard stream is never adopted as a listener.
 const LAST_STANDARD_STREAM: RawFd = 2;
 
 /// Why the inherited socket cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum InheritError {
-    /// The variable contains no number, or that of a standard stream.
-    #[error("{DESCRIPTOR_VARIABLE}: {0:?} is not a descriptor of a socket")]
+    /// The variable does not contain a number, or contains the number of a standard stream.
+    #[error("{DESCRIPTOR_VARIABLE}: {0:?} is not the number of a socket descriptor")]
     InvalidDescriptor(String),
     /// The descriptor is not open, or is not a socket.
     #[error("{DESCRIPTOR_VARIABLE}: descriptor {0} is not a socket")]
@@ -32,9 +32,9 @@
     },
 }
 
-/// The inherited listener, in non-blocking mode; `None` if the environment names none.
+/// Returns the inherited listener, in non-blocking mode; `None` if `BALANCER_FD` is empty or not set.
 ///
-/// It must be called only once, and before any descriptor is opened that could have the same number.
+/// Call this only once, and before a descriptor is opened that could have the same number.
 ///
 /// # Errors
 ///
@@ -78,7 +78,7 @@
 /// `LISTEN_FDS` announces, which the platform does not set.
 #[allow(unsafe_code)]
 fn adopt(descriptor: RawFd) -> TcpListener {
-    // SAFETY: the descriptor is open and a socket, which the caller has checked. Nothing in this process owns
-    // it: it was inherited, and it is adopted once, before any other descriptor is opened.
+    // SAFETY: the caller has checked that the descriptor is open and a socket. Nothing else in this process
+    // owns it: it is inherited, and adopted only once, before any other descriptor is opened.
     unsafe { TcpListener::from_raw_fd(descriptor) }
 }
--- a/src/forwarder/state_folder.rs
+++ b/src/forwarder/state_folder.rs
@@ -8,19 +8,20 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// The journal may use this many bytes per MB of the disk limit. The rest allows for the rounding of file sizes.
+/// Maximum size of the journal per MB of the disk limit. The rest is for the rounding of file sizes and for
+/// the other files.
 const JOURNAL_BYTES_PER_DISK_MB: f64 = 0.95e6;
-/// Pause after the folder could not be opened.
+/// Delay after a failed attempt to open the folder.
 const RETRY_DELAY: Duration = Duration::from_millis(250);
 
-/// The state folder, which this process owns.
+/// The opened state folder, which this process owns.
 pub(crate) struct StateFolder {
-    /// It was empty: no process has run with it.
+    /// Whether the folder was empty, so that no process has used it before.
     pub(crate) is_new: bool,
     pub(crate) ownership: Ownership,
-    /// When this process took over from an earlier one.
+    /// When this process became the owner of the folder.
     pub(crate) owned_since: Instant,
-    /// The times of the journal.
+    /// The Unix time that the journal uses.
     pub(crate) timeline: Timeline<KernelClocks>,
     pub(crate) journal: Journal,
     /// The messages that are open in the journal, in the order of their acceptance.
@@ -30,7 +31,7 @@
 /// Why the state folder cannot be opened.
 #[derive(Debug, thiserror::Error)]
 enum StateFolderError {
-    /// The lock in it cannot be used.
+    /// The lock of the folder cannot be used.
     #[error("upgrade: {0}")]
     Upgrade(#[from] UpgradeError),
     /// The journal cannot be opened.
@@ -39,14 +40,14 @@
 }
 
 impl StateFolder {
-    /// Waits until this process owns the folder and has opened its journal. While the folder fails, it retries.
+    /// Waits until this process owns the folder and has opened its journal. Failures are logged and retried.
     pub(crate) async fn open(path: &Path, disk_mb: f64) -> Self {
         let is_new = is_empty(path);
         loop {
             match StateFolder::try_open(path, disk_mb, is_new).await {
                 Ok(folder) => return folder,
-                // The ownership was given up: a predecessor continues meanwhile.
-                Err(error) => eprintln!("{error}; retrying"),
+                // The failed attempt has released the ownership, so a predecessor continues to serve.
+                Err(error) => eprintln!("{error}; retrying to open the state folder"),
             }
             sleep(RETRY_DELAY).await;
         }
@@ -63,7 +64,7 @@
     }
 }
 
-/// Whether the folder can be read and nothing is in it.
+/// Whether the folder can be read and is empty.
 fn is_empty(path: &Path) -> bool {
     fs::read_dir(path).is_ok_and(|mut entries| entries.next().is_none())
 }
