--- a/src/forwarder/mod.rs
+++ b/src/forwarder/mod.rs
@@ -1,7 +1,8 @@
-//! The forwarder process: the decision module on real sockets.
+//! The forwarder process, which runs the decision module with real sockets.
 
-/// Writes a line to the log, which is the standard error stream. In this module it replaces the macro of the standard
-/// library, which panics if the write fails: a log that cannot be written must not end the process or one of its tasks.
+/// Writes a line to the log, which is the standard error stream. It replaces the macro of the standard
+/// library in this module, because that panics if the write fails: a failed log write must not end the
+/// process or one of its tasks.
 macro_rules! eprintln {
     ($($argument:tt)*) => {{
         use std::io::Write;
@@ -57,25 +58,26 @@
 use tokio::sync::{Semaphore, mpsc, watch};
 use tokio::time::{Instant, sleep};
 
-/// Upper bound of the events that wait for the runtime.
+/// Maximum number of events that wait for the runtime.
 const EVENT_QUEUE_CAPACITY: usize = 1024;
-/// Upper bound of the batches of notices that wait for the notice sender.
+/// Maximum number of batches that wait for the notice sender.
 const NOTICE_QUEUE_CAPACITY: usize = 1;
-/// The bodies of requests without a reply may use the memory limit divided by this.
+/// The bodies of the requests that have no reply yet may use the memory limit divided by this.
 const BODY_MEMORY_DIVISOR: usize = 8;
-/// Converts the memory limit, which is configured in MB, to the unit of the semaphore.
+/// Converts the configured memory limit to the unit of the semaphore for bodies.
 const KIB_PER_MB: usize = 1024;
 
-/// Delay after the configuration could not be read at SIGHUP.
+/// Delay after the first failed attempt to read the configuration at SIGHUP.
 const INITIAL_RELOAD_BACKOFF: Duration = Duration::from_millis(20);
-/// The longest such delay. The new address has to be used a few seconds after the signal.
+/// Longest delay between attempts to read the configuration. The new address must be in use a few seconds
+/// after the signal.
 const MAX_RELOAD_BACKOFF: Duration = Duration::from_millis(250);
-/// How often the configuration is read after one SIGHUP.
+/// Maximum number of attempts to read the configuration after one SIGHUP.
 const MAX_RELOAD_ATTEMPTS: usize = 240;
 
-/// For how long an address that cannot be bound is tried again.
+/// Time for which binding an address is retried.
 const BIND_TIMEOUT: Duration = Duration::from_secs(5);
-/// The time between two tries.
+/// Delay between two attempts to bind an address.
 const BIND_RETRY_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Why the forwarder could not run.
@@ -93,14 +95,14 @@
 }
 
 /// Runs until SIGTERM, or until a successor has taken over and all work is done. Clients are accepted on the
-/// inherited listener; without one, the configured address is bound. A state folder that cannot be opened is waited
-/// for.
+/// inherited listener, or on the configured address if there is none. Opening the state folder is retried
+/// until it succeeds.
 ///
 /// # Errors
 ///
-/// See [`RunError`]. Nothing was taken over from a predecessor.
+/// See [`RunError`]. Errors occur only before anything is taken over from a predecessor.
 pub async fn run(config: Config, inherited: Option<std::net::TcpListener>) -> Result<(), RunError> {
-    // Before anything else: SIGHUP ends the process until its handler is installed.
+    // Must come first: until its handler is installed, SIGHUP ends the process.
     let Signals { hangup, mut terminate } = Signals::install().map_err(RunError::Signals)?;
     let descriptors = DescriptorBudget::new(&config);
     // The runtime holds the receiver.
@@ -131,7 +133,7 @@
         start_platform_clients(&config, initial_list, &events, notice_batches, &mut runtime, &mut tasks);
     tasks.spawn(reload_configuration(hangup, discovery));
     tasks.spawn(forward_termination(terminate, events.clone()));
-    // The runtime publishes its phase, the server and its connections follow it.
+    // The runtime publishes its phase to the server and its connections.
     let (phase_publisher, phase) = watch::channel(LifecyclePhase::Serving);
     let handler = request_handler(config, events, phase, connection_counts);
     let server = tokio::spawn(server::serve(listener, descriptors.client_connections, Arc::new(handler)));
@@ -139,8 +141,8 @@
     Ok(())
 }
 
-/// Serves operators, and returns the listener for clients. This is done before the take-over: a process that cannot
-/// serve clients must not end the service of its predecessor.
+/// Starts to serve operators, and returns the listener for clients. Called before the take-over, because a
+/// process that cannot serve clients must not stop its predecessor from serving them.
 async fn open_listeners(
     config: &Config,
     inherited: Option<std::net::TcpListener>,
@@ -151,7 +153,7 @@
     client_listener(config, inherited).await
 }
 
-/// Serves operators, if an address for them is configured.
+/// Starts to serve operators, if an address for them is configured.
 async fn serve_operators(
     config: &Config,
     events: &Sender<RuntimeEvent>,
@@ -173,8 +175,8 @@
     }
 }
 
-/// Binds an address. It may be in use for a moment by a process that is about to end, or the system may be short of
-/// resources, so that this is tried again for [`BIND_TIMEOUT`].
+/// Binds an address. Retries for [`BIND_TIMEOUT`], since the address may still be in use by a process that is
+/// about to end, or the system may be short of resources.
 async fn bind(address: SocketAddr) -> Result<TcpListener, RunError> {
     let give_up_at = Instant::now() + BIND_TIMEOUT;
     loop {
@@ -186,7 +188,7 @@
     }
 }
 
-/// Rejects the commands of operators until this process owns the state. Never completes.
+/// Rejects commands of operators while this process does not own the state. Never completes.
 async fn reject_admin_requests(event_queue: &mut Receiver<RuntimeEvent>) -> Infallible {
     while let Some(event) = event_queue.recv().await {
         if let RuntimeEvent::AdminRequest(request) = event {
@@ -197,8 +199,8 @@
     std::future::pending().await
 }
 
-/// Starts the tasks that follow the endpoint list and send notices. They end once a successor owns the messages.
-/// Returns where the address of the platform is published to them.
+/// Starts the tasks that watch the endpoint list and send notices, which are aborted once a successor owns
+/// the messages. Returns the sender that publishes the address of the platform to them.
 fn start_platform_clients(
     config: &Config,
     initial_list: InitialList,
@@ -216,8 +218,8 @@
     publisher
 }
 
-/// Reads the configuration again at each SIGHUP and publishes the address of discovery. Everything else in it holds
-/// for the lifetime of the process.
+/// Reads the configuration again at each SIGHUP and publishes the address of discovery. All other values stay
+/// as they were read at the start of the process.
 async fn reload_configuration(mut hangup: Signal, discovery: watch::Sender<SocketAddr>) {
     while hangup.recv().await.is_some() {
         if let Some(address) = read_discovery_address().await {
@@ -226,14 +228,14 @@
     }
 }
 
-/// Reads the address of discovery from the configuration. An unreadable file is read again for a while: it may just be
-/// written, or the process may lack descriptors. If it stays unreadable, nothing changes.
+/// Reads the address of discovery from the configuration, in up to [`MAX_RELOAD_ATTEMPTS`] attempts: the file
+/// may be half written, or the process may lack descriptors. Returns `None` if all of them fail.
 async fn read_discovery_address() -> Option<SocketAddr> {
     let mut backoff = Backoff::new(INITIAL_RELOAD_BACKOFF, MAX_RELOAD_BACKOFF);
     for attempt in 0..MAX_RELOAD_ATTEMPTS {
         match Config::from_env() {
             Ok(Config { discovery, .. }) => return Some(discovery),
-            Err(error) if attempt == 0 => eprintln!("configuration: not reloaded: {error}"),
+            Err(error) if attempt == 0 => eprintln!("configuration: cannot reload, retrying: {error}"),
             Err(_) => {}
         }
         sleep(backoff.next_delay()).await;
@@ -244,7 +246,7 @@
 /// Forwards SIGTERM to the runtime.
 async fn forward_termination(mut terminate: Signal, events: Sender<RuntimeEvent>) {
     terminate.recv().await;
-    // The runtime ends only with the process.
+    // Sending fails only if the runtime has ended, and with it the process.
     let _ = events.send(RuntimeEvent::Terminate).await;
 }
 
