--- a/tests/drain_restarts.rs
+++ b/tests/drain_restarts.rs
@@ -1,4 +1,4 @@
-//! Drains around restarts of discovery and of the forwarder, new configurations and upgrades.
+//! Drains around restarts of discovery and of the forwarder, changes of the configuration, and upgrades.
 
 mod support;
 
@@ -11,24 +11,25 @@
 };
 use tokio::time::sleep;
 
-/// A signal to use another configuration comes after the first second of a process at the earliest.
+/// Longer than the first second of a process, in which the platform sends no SIGHUP.
 const BEFORE_FIRST_RELOAD: Duration = Duration::from_millis(1100);
-/// The time between signals in quick succession.
+/// The time between two signals in quick succession.
 const BETWEEN_RELOADS: Duration = Duration::from_millis(300);
 /// Within this time after discovery has moved, the connections to the old address are closed.
 const OLD_ADDRESS_CLOSED: Duration = Duration::from_millis(1700);
-/// Within this time after a signal to use another address, its list must be known and the grace is over.
-const MUST_BE_KNOWN_AFTER_RELOAD: Duration = Duration::from_millis(4600);
-/// The first forwarder that calls discovery.
+/// Longer than the time in which the list must include the changes at another address after the signal to use
+/// it, plus the grace period.
+const AFTER_RELOAD_AND_GRACE: Duration = Duration::from_millis(4600);
+/// The number of the first forwarder that calls discovery.
 const CALLER: usize = 0;
 /// How long discovery is down when it restarts.
 const RESTART_DURATION: Duration = Duration::from_secs(2);
 
-/// Within this time after an answer was written, the forwarder has obeyed it.
-const TOLD: Duration = Duration::from_secs(1);
+/// Within this time after a response was written, the forwarder has applied it.
+const RESPONSE_APPLIED: Duration = Duration::from_secs(1);
 
-/// Answers that come a second late.
-const LATE_ANSWERS: DiscoveryBehavior =
+/// Discovery writes each response one second late.
+const LATE_RESPONSES: DiscoveryBehavior =
     DiscoveryBehavior::Delayed { delay: Duration::from_secs(1), content: AnswerContent::WhenWritten };
 
 /// An endpoint drains while discovery restarts with lower revisions.
@@ -66,7 +67,7 @@
 }
 
 #[tokio::test]
-async fn discovery_restarts_at_a_lower_revision_and_overtakes_the_old_one() {
+async fn discovery_restarts_at_a_lower_revision_and_exceeds_the_old_one() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     scenario.discovery.change(scenario.staying_record());
     scenario.discovery.until_latest_list_is_written().await;
@@ -99,12 +100,12 @@
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// The forwarder ends, an endpoint drains, and the forwarder starts again with the list that it knew.
-async fn drain_before_restart(mode: DiscoveryMode, end: ForwarderEnd, answers: DiscoveryBehavior) {
+/// The forwarder ends, an endpoint drains, and the forwarder starts again with the old list.
+async fn drain_before_restart(mode: DiscoveryMode, end: ForwarderEnd, behavior: DiscoveryBehavior) {
     let mut scenario = DrainScenario::start(mode, 3).await;
     scenario.end_forwarder(end).await;
     scenario.drain();
-    scenario.discovery.set_behavior(answers);
+    scenario.discovery.set_behavior(behavior);
     scenario.restart().await;
     scenario.finish_after(LONGEST_DELAY).await;
 }
@@ -115,18 +116,18 @@
 }
 
 #[tokio::test]
-async fn a_killed_forwarder_starts_with_an_old_list_and_the_answer_is_late() {
-    drain_before_restart(DiscoveryMode::Push, ForwarderEnd::Killed, LATE_ANSWERS).await;
+async fn a_killed_forwarder_starts_with_an_old_list_and_the_response_is_late() {
+    drain_before_restart(DiscoveryMode::Push, ForwarderEnd::Killed, LATE_RESPONSES).await;
 }
 
 #[tokio::test]
-async fn a_terminated_forwarder_starts_with_an_old_list_and_the_answer_is_late() {
-    drain_before_restart(DiscoveryMode::Push, ForwarderEnd::Terminated, LATE_ANSWERS).await;
+async fn a_terminated_forwarder_starts_with_an_old_list_and_the_response_is_late() {
+    drain_before_restart(DiscoveryMode::Push, ForwarderEnd::Terminated, LATE_RESPONSES).await;
 }
 
 #[tokio::test]
-async fn a_killed_forwarder_asks_and_the_answer_is_late() {
-    drain_before_restart(DiscoveryMode::Ask, ForwarderEnd::Killed, LATE_ANSWERS).await;
+async fn a_killed_forwarder_polls_a_shared_service_and_the_response_is_late() {
+    drain_before_restart(DiscoveryMode::Ask, ForwarderEnd::Killed, LATE_RESPONSES).await;
 }
 
 #[tokio::test]
@@ -152,11 +153,11 @@
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// Discovery moves to an address where no call succeeds, and on to another one.
-async fn drain_between_moves(down: SocketAddr) {
+/// Discovery moves to an address where no call succeeds, and then to a healthy one.
+async fn drain_between_moves(unreachable_address: SocketAddr) {
     let mut scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     sleep(BEFORE_FIRST_RELOAD).await;
-    scenario.reload(down);
+    scenario.reload(unreachable_address);
     sleep(BEFORE_FIRST_RELOAD).await;
     scenario.drain();
     scenario.move_discovery();
@@ -164,12 +165,12 @@
 }
 
 #[tokio::test]
-async fn discovery_moves_to_an_address_that_is_down_and_on() {
+async fn discovery_moves_to_an_address_that_is_down_and_then_to_another() {
     drain_between_moves(EndpointStub::start().await.stop().await).await;
 }
 
 #[tokio::test]
-async fn discovery_moves_to_an_address_where_no_connection_comes_up_and_on() {
+async fn discovery_moves_to_an_address_where_no_connection_is_established_and_then_to_another() {
     let full = FullListener::start().await;
     drain_between_moves(full.address).await;
 }
@@ -187,27 +188,27 @@
 }
 
 #[tokio::test]
-async fn the_new_address_is_slow() {
+async fn discovery_at_a_new_address_is_slow() {
     let mut scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     sleep(BEFORE_FIRST_RELOAD).await;
-    scenario.discovery.set_behavior(LATE_ANSWERS);
+    scenario.discovery.set_behavior(LATE_RESPONSES);
     scenario.move_discovery();
     scenario.drain();
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// Seen in a seeded run: requests to drained endpoints up to 0.34 s late after SIGHUP. The agent at the new address was silent,
-/// and the connection with its first answer broke. The broken connection was taken for an outage, in which the old list
-/// may be used. Proved by the log: "the connection broke", and at once "the endpoint list is fresh again".
+/// Guards against calls to drained endpoints after a change of address. The agent at the new address sends
+/// nothing, and then the connection with its first response breaks. A forwarder that takes this for an outage
+/// treats the list from the old address as fresh again.
 #[tokio::test]
-async fn the_first_answer_of_a_new_address_is_lost() {
+async fn the_first_response_from_a_new_address_is_lost() {
     let mut scenario = DrainScenario::start(DiscoveryMode::Push, 3).await;
     sleep(BEFORE_FIRST_RELOAD).await;
     scenario.discovery.set_latency(45);
     scenario.discovery.set_behavior(DiscoveryBehavior::Silent);
     scenario.drain();
     scenario.move_discovery();
-    sleep(MUST_BE_KNOWN_AFTER_RELOAD).await;
+    sleep(AFTER_RELOAD_AND_GRACE).await;
     scenario.discovery.spoil_next_answer(CALLER, AnswerFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
@@ -255,9 +256,9 @@
 }
 
 #[tokio::test]
-async fn an_endpoint_drains_before_an_upgrade_while_answers_are_late() {
+async fn an_endpoint_drains_before_an_upgrade_while_responses_are_late() {
     let mut scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
-    scenario.discovery.set_behavior(LATE_ANSWERS);
+    scenario.discovery.set_behavior(LATE_RESPONSES);
     scenario.drain();
     let _predecessor = upgrade(&mut scenario).await;
     scenario.finish_after(LONGEST_DELAY).await;
@@ -272,15 +273,15 @@
     scenario.finish_after(LONGEST_SLOW_DELAY).await;
 }
 
-/// Seen in seeded runs: requests to drained endpoints up to 1.5 s late after an upgrade. A response that told of the drain had
-/// stopped half way, so that the predecessor held its calls; its successor used the list that it was handed. Proved by the
-/// plans of three such runs, in which only the upgraded processes were late.
+/// Guards against calls to drained endpoints after an upgrade. A response with the drain stops half way, so
+/// the predecessor considers its list stale and starts no calls. The successor receives this list in the
+/// handover and must not use it.
 #[tokio::test]
-async fn a_successor_does_not_use_a_list_that_its_predecessor_did_not_act_on() {
-    for answers in [DiscoveryBehavior::Stall, DiscoveryBehavior::BreakOff] {
+async fn a_successor_does_not_use_a_list_that_its_predecessor_considered_stale() {
+    for behavior in [DiscoveryBehavior::Stall, DiscoveryBehavior::BreakOff] {
         let mut scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
         scenario.discovery.until_followed().await;
-        scenario.discovery.set_behavior(answers);
+        scenario.discovery.set_behavior(behavior);
         scenario.drain();
         sleep(RESTART_DURATION).await;
         let _predecessor = upgrade(&mut scenario).await;
@@ -301,8 +302,8 @@
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// An endpoint drains right after the process was killed, which the service does not know yet, and the service is down
-/// when the next process starts.
+/// An endpoint drains right after the process was killed, before the service notices that, and the service is
+/// down when the next process starts.
 async fn drain_between_processes(mode: DiscoveryMode, outage: DiscoveryBehavior) {
     let mut scenario = DrainScenario::start(mode, 6).await;
     scenario.discovery.until_followed().await;
@@ -317,24 +318,23 @@
 }
 
 #[tokio::test]
-async fn a_pushed_drain_is_obeyed_by_a_process_whose_agent_is_down_when_it_starts() {
+async fn a_process_whose_agent_is_down_at_its_start_stops_calls_to_a_draining_endpoint() {
     drain_between_processes(DiscoveryMode::Push, DiscoveryBehavior::Refuse).await;
 }
 
-/// Seen in a seeded run: requests to endpoints that drained while the process ended, up to 5.2 s late. The service had
-/// written the drain to the ending process, and its connections were reset when the next one started. That took the
-/// resets for an outage, in which the list of its configuration may be used. Proved by the log: "the connection broke",
-/// and at once "the endpoint list is fresh again", before the first list.
+/// Guards against calls to endpoints that drained while the previous process ended. The service wrote the
+/// drain to that process, and connections are reset or refused when the next one starts. If the new process
+/// takes this for an outage, it treats the list of its configuration as fresh before it has received a list.
 #[tokio::test]
-async fn a_drain_is_obeyed_that_an_ending_process_was_told_of_while_the_service_went_down() {
+async fn a_restarted_process_stops_calls_to_an_endpoint_whose_drain_was_sent_to_a_killed_process() {
     for outage in [DiscoveryBehavior::Reset, DiscoveryBehavior::Refuse] {
         drain_between_processes(DiscoveryMode::Ask, outage).await;
     }
 }
 
-/// Seen in a seeded run: requests to an endpoint up to 5.6 s after a process was told of its drain. Discovery had restarted at
-/// a lower revision, the process ended, and the next one asked for changes since the revision of its configuration, which
-/// the restarted service counts for a later list. Proved by the revisions in the log: the first answer had no changes.
+/// Guards against calls to an endpoint whose drain an earlier process received. Discovery restarts at a lower
+/// revision, and the next process requests the changes since the revision of its configuration. The restarted
+/// service uses this revision for a later list, so its first response contains no changes.
 #[tokio::test]
 async fn a_process_starts_with_the_revision_of_a_list_from_before_discovery_restarted() {
     let mut scenario = DrainScenario::start(DiscoveryMode::Push, 3).await;
@@ -342,15 +342,15 @@
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.discovery.restart_at_revision(1);
-    sleep(TOLD).await;
+    sleep(RESPONSE_APPLIED).await;
     scenario.end_forwarder(ForwarderEnd::Killed).await;
     scenario.restart().await;
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// Found by the soak (seed 13): requests to an endpoint up to 6.5 s late. The process ended before it heard of the drain, and
-/// discovery restarted at the revision of the configuration. The next process asked for changes since that revision: there
-/// were none, as its log shows, which seemed to confirm the list of the configuration.
+/// Guards against calls to an endpoint that drained between two processes. The first process ends before it
+/// receives the drain, and discovery restarts at the revision of the configuration. The next process requests
+/// the changes since that revision; there are none, which seems to confirm the list of the configuration.
 async fn drain_before_discovery_restarts_at_the_configured_revision(mode: DiscoveryMode, sender_count: u64) {
     let mut scenario = DrainScenario::start(mode, sender_count).await;
     scenario.end_forwarder(ForwarderEnd::Killed).await;
@@ -376,7 +376,7 @@
 }
 
 #[tokio::test]
-async fn a_pushed_drain_right_after_the_agent_takes_connections_again_is_obeyed() {
+async fn calls_stop_to_an_endpoint_that_drains_right_after_the_agent_accepts_connections_again() {
     let cases = (500..1400).step_by(75).map(Duration::from_millis).collect();
     run_cases(cases, Duration::from_secs(2), drain_after_connections_hung).await;
 }
@@ -389,25 +389,25 @@
     scenario
 }
 
-/// A forwarder is told of a drain, ends, and starts again with the list of its configuration, which is older.
+/// A forwarder receives a drain, ends, and starts again with the list of its configuration, which is older.
 #[derive(Clone, Copy, Debug)]
 struct RestartAfterDrain {
     mode: DiscoveryMode,
     sender_count: u64,
     end: ForwarderEnd,
     /// How discovery behaves when the next process starts.
-    answers: DiscoveryBehavior,
+    discovery_behavior: DiscoveryBehavior,
 }
 
 impl RestartAfterDrain {
-    async fn play(self) -> DrainScenario {
+    async fn run(self) -> DrainScenario {
         let mut scenario = DrainScenario::start(self.mode, self.sender_count).await;
         scenario.discovery.until_followed().await;
         scenario.drain();
         scenario.discovery.until_latest_list_is_written().await;
-        sleep(TOLD).await;
+        sleep(RESPONSE_APPLIED).await;
         scenario.end_forwarder(self.end).await;
-        scenario.discovery.set_behavior(self.answers);
+        scenario.discovery.set_behavior(self.discovery_behavior);
         scenario.restart().await;
         sleep(RESTART_DURATION).await;
         scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
@@ -416,16 +416,18 @@
 }
 
 #[tokio::test]
-async fn a_drain_is_obeyed_that_an_earlier_process_was_told_of() {
+async fn a_restarted_process_stops_calls_to_an_endpoint_whose_drain_an_earlier_process_received() {
     let mut cases = Vec::new();
     for end in [ForwarderEnd::Killed, ForwarderEnd::Terminated] {
         for (mode, sender_count) in
             [(DiscoveryMode::Ask, 6), (DiscoveryMode::Ask, 41), (DiscoveryMode::Push, 6)]
         {
-            for answers in [DiscoveryBehavior::Healthy, LATE_ANSWERS, DiscoveryBehavior::Reject503] {
-                cases.push(RestartAfterDrain { mode, sender_count, end, answers });
+            for discovery_behavior in
+                [DiscoveryBehavior::Healthy, LATE_RESPONSES, DiscoveryBehavior::Reject503]
+            {
+                cases.push(RestartAfterDrain { mode, sender_count, end, discovery_behavior });
             }
         }
     }
-    run_cases(cases, LONGEST_DELAY, RestartAfterDrain::play).await;
+    run_cases(cases, LONGEST_DELAY, RestartAfterDrain::run).await;
 }
