--- a/tests/drain_connections.rs
+++ b/tests/drain_connections.rs
@@ -1,4 +1,4 @@
-//! Drains between the decision to send a request and its first byte.
+//! Drains between the decision to call an endpoint and the first byte of the call.
 
 mod support;
 
@@ -7,17 +7,17 @@
 use support::{DiscoveryMode, DrainScenario, EndpointBehavior, FirstByteEndpoint, long_turns};
 use tokio::time::sleep;
 
-/// How long a process may be held up.
+/// How long a process may be paused.
 const PAUSE: Duration = Duration::from_millis(150);
-/// Longer than the grace, and than calls to the endpoint take.
+/// Longer than the grace period and than a call to the endpoint.
 const AFTER_GRACE: Duration = Duration::from_millis(2500);
-/// Within this time a list has been obeyed and traffic has settled.
+/// Within this time a list has been applied and traffic has settled.
 const SETTLED: Duration = Duration::from_millis(800);
-/// Within this time a forwarder has begun to connect.
+/// Within this time a forwarder has started to connect.
 const CONNECTING: Duration = Duration::from_millis(300);
 
 #[tokio::test]
-async fn the_process_is_held_up_while_an_endpoint_drains() {
+async fn the_process_is_paused_while_an_endpoint_drains() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     scenario.discovery.until_followed().await;
     for _ in 0..5 {
@@ -33,7 +33,7 @@
 }
 
 #[tokio::test]
-async fn the_process_is_held_up_at_the_end_of_the_grace() {
+async fn the_process_is_paused_at_the_end_of_the_grace_period() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     scenario.discovery.until_followed().await;
     scenario.drain();
@@ -44,7 +44,8 @@
     scenario.finish_after(AFTER_GRACE).await;
 }
 
-/// Starts with an endpoint to which the forwarder is connecting, and waits until it has begun to.
+/// Starts with an endpoint whose connections are not established, and waits until the forwarder has started
+/// to connect.
 async fn start_connecting() -> DrainScenario {
     let endpoints = [FirstByteEndpoint::start_full().await, FirstByteEndpoint::start().await];
     let scenario = DrainScenario::start_between(DiscoveryMode::Ask, 3, "plain", endpoints, |configuration| {
@@ -57,7 +58,7 @@
 }
 
 #[tokio::test]
-async fn a_connection_comes_up_after_the_drain() {
+async fn a_connection_is_established_after_the_drain() {
     let mut scenario = start_connecting().await;
     scenario.drain();
     scenario.draining.open().await;
@@ -65,14 +66,14 @@
 }
 
 #[tokio::test]
-async fn a_connection_that_comes_up_late_is_used_without_a_drain() {
+async fn a_connection_that_is_established_late_is_used_without_a_drain() {
     let mut scenario = start_connecting().await;
     scenario.draining.open().await;
     scenario.until_called(&scenario.draining).await;
 }
 
 #[tokio::test]
-async fn connections_die_while_an_endpoint_drains() {
+async fn connections_are_closed_while_an_endpoint_drains() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     scenario.discovery.until_followed().await;
     scenario.drain();
@@ -84,7 +85,7 @@
 }
 
 #[tokio::test]
-async fn messages_travel_in_batches() {
+async fn messages_are_sent_in_batches() {
     let scenario = DrainScenario::start_with(DiscoveryMode::Ask, 3, "several", long_turns).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
@@ -93,7 +94,7 @@
     scenario.finish_after(AFTER_GRACE).await;
 }
 
-/// The endpoint that drains fails calls in this way.
+/// The endpoint that drains fails calls by `behavior`.
 async fn drain_of_failing_endpoint(behavior: EndpointBehavior) {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     scenario.discovery.until_followed().await;
--- a/tests/drain_partial_answers.rs
+++ b/tests/drain_partial_answers.rs
@@ -1,6 +1,6 @@
-//! Drains that discovery has told of in an answer which does not arrive whole.
+//! Drains that discovery reports in a response which does not arrive completely.
 //!
-//! A change counts as told when the answer is written, whatever becomes of the answer.
+//! A change counts as sent when the service writes the response, even if the response is lost.
 
 mod support;
 
@@ -8,25 +8,25 @@
 use support::{AnswerFault, DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY, run_cases};
 use tokio::time::sleep;
 
-/// The first forwarder that calls discovery.
+/// The number of the first forwarder that calls discovery.
 const CALLER: usize = 0;
 /// Within this time a forwarder has confirmed the list that it started with.
 const SETTLED: Duration = Duration::from_secs(1);
-/// Failed calls within this time have made the backoff long.
+/// After failed calls for this time, the backoff is long.
 const BACKOFF_GROWN: Duration = Duration::from_secs(5);
 
-/// A spoilt answer that tells of a drain.
+/// An incomplete response that contains a drain.
 #[derive(Clone, Copy, Debug)]
-struct SpoiltAnswer {
+struct IncompleteResponse {
     mode: DiscoveryMode,
     sender_count: u64,
     fault: AnswerFault,
-    /// It is the first one after failed calls.
+    /// Whether it is the first response after rejected calls.
     after_rejections: bool,
 }
 
-impl SpoiltAnswer {
-    async fn play(self) -> DrainScenario {
+impl IncompleteResponse {
+    async fn run(self) -> DrainScenario {
         let scenario = DrainScenario::start(self.mode, self.sender_count).await;
         scenario.discovery.until_followed().await;
         sleep(SETTLED).await;
@@ -40,26 +40,26 @@
 }
 
 #[tokio::test]
-async fn a_drain_is_obeyed_whose_answer_is_spoilt() {
+async fn calls_stop_to_an_endpoint_whose_drain_is_sent_in_an_incomplete_response() {
     let mut cases = Vec::new();
     for fault in [AnswerFault::Stall, AnswerFault::BreakOff, AnswerFault::Lose] {
         for mode in [DiscoveryMode::Ask, DiscoveryMode::Push] {
-            let case = SpoiltAnswer { mode, sender_count: 6, fault, after_rejections: false };
-            cases.extend([case, SpoiltAnswer { after_rejections: true, ..case }]);
+            let case = IncompleteResponse { mode, sender_count: 6, fault, after_rejections: false };
+            cases.extend([case, IncompleteResponse { after_rejections: true, ..case }]);
         }
     }
-    let larger = SpoiltAnswer {
+    let larger = IncompleteResponse {
         mode: DiscoveryMode::Ask,
         sender_count: 41,
         fault: AnswerFault::Stall,
         after_rejections: true,
     };
-    cases.extend([larger, SpoiltAnswer { fault: AnswerFault::BreakOff, ..larger }]);
-    run_cases(cases, LONGEST_DELAY, SpoiltAnswer::play).await;
+    cases.extend([larger, IncompleteResponse { fault: AnswerFault::BreakOff, ..larger }]);
+    run_cases(cases, LONGEST_DELAY, IncompleteResponse::run).await;
 }
 
 #[tokio::test]
-async fn an_answer_is_lost_without_a_byte_and_the_service_falls_silent() {
+async fn a_response_is_lost_completely_and_the_service_stops_responding() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 6).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
@@ -72,11 +72,11 @@
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// Seen in a seeded run: requests to drained endpoints up to 0.8 s late after an outage in which connections were reset. The
-/// first answer of the returned service was lost with its connection. To the sender that is one more reset of the outage,
-/// so that it goes on with its list until its next call.
+/// Guards against calls to drained endpoints after an outage in which connections were reset. The first
+/// response after the outage is lost with its connection. A sender that takes this for one more reset of the
+/// outage uses its list until its next call.
 #[tokio::test]
-async fn the_first_answer_after_an_outage_that_reset_connections_is_lost() {
+async fn the_first_response_after_an_outage_that_reset_connections_is_lost() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 14).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
@@ -89,7 +89,7 @@
 }
 
 #[tokio::test]
-async fn every_answer_stalls_for_a_while() {
+async fn every_response_stalls_for_a_while() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 6).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
