--- a/tests/drain_ambiguous_failures.rs
+++ b/tests/drain_ambiguous_failures.rs
@@ -1,7 +1,7 @@
-//! Drains that are told while failed calls look as if the service could tell nothing.
+//! Drains that count as sent although the failed calls of a sender look like an outage of the service.
 //!
-//! Left open by the incident of the rejected polls. What a sender sees is the same, whether the service is down or not; where
-//! it is down, calls must go on, so that the list is used. The tests that fail are listed in `KNOWN-RED.txt`.
+//! A sender cannot distinguish these cases from an outage, during which calls to endpoints must continue, so
+//! it keeps using its list. Tests that fail for that reason are listed in `KNOWN-RED.txt`.
 
 mod support;
 
@@ -12,17 +12,18 @@
 };
 use tokio::time::sleep;
 
-/// The first forwarder that calls discovery.
+/// The number by which the discovery service knows the forwarder.
 const CALLER: usize = 0;
-/// A watch that has been open for this long was taken up by the service.
+/// A watch that has been open for this long was accepted by the service.
 const WATCH_ESTABLISHED: Duration = Duration::from_secs(2);
 /// How long bytes take to the service, and back.
 const LATENCY_MS: u64 = 90;
-/// After this time the answer to a watch is under way.
-const ANSWER_UNDER_WAY: Duration = Duration::from_millis(40);
-/// After this time more it has arrived, and the next call has not.
+/// This long after a change, the response to a watch is on its way to the forwarder.
+const RESPONSE_ON_ITS_WAY: Duration = Duration::from_millis(40);
+/// This long after [`RESPONSE_ON_ITS_WAY`], the response has arrived and the next call has not.
 const BETWEEN_WATCHES: Duration = Duration::from_millis(95);
-/// So many connections that break one after the other are an outage.
+/// The calls that are open before the service restarts. This many connections that break in a row count as an
+/// outage.
 const OVERLAPPING_CALLS: usize = 3;
 /// How long the service is down.
 const OUTAGE: Duration = Duration::from_secs(6);
@@ -39,8 +40,8 @@
     scenario
 }
 
-/// The answer that tells of the drain is written, and its connection is reset in the same moment; right after that the
-/// service goes down. To the sender its watch was reset by the outage, as all watches are.
+/// The connection is reset when the response with the drain is written, and the service goes down right after
+/// that. The change counts as sent, but to the sender the outage has reset the watch.
 #[tokio::test]
 async fn a_response_is_lost_right_before_the_service_goes_down() {
     let scenario = start_watching().await;
@@ -51,23 +52,24 @@
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// Found by the soak (seed 2013): an endpoint drains between the answer to a watch and its next call, which finds the service
-/// down. The change counts as told all the same, and the outage was taken for a proof that there was nothing to tell.
+/// An endpoint drains between the response to a watch and the call that continues it, which fails because the
+/// service is down. The change counts as sent. This guards against a list that does not age, because the
+/// outage is taken for proof that no change was missed.
 #[tokio::test]
 async fn an_endpoint_drains_between_two_watches_and_the_service_goes_down() {
     let scenario = start_watching().await;
     scenario.discovery.set_latency(LATENCY_MS);
     scenario.discovery.change(scenario.staying_record());
-    sleep(ANSWER_UNDER_WAY).await;
+    sleep(RESPONSE_ON_ITS_WAY).await;
     scenario.drain();
     sleep(BETWEEN_WATCHES).await;
     scenario.outage(DiscoveryBehavior::Reset, OUTAGE).await;
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// Found by the soak (seed 3017): first bytes up to 4.9 s late. The service is silent, so that several calls are open beside each
-/// other, an endpoint drains, and the service restarts, still silent. Its log has three calls that broke in the same moment,
-/// and right after that "the endpoint list is fresh again": they counted as three connections that break one after the other.
+/// The service is silent, so several calls are open at the same time, an endpoint drains, and the service
+/// restarts and stays silent. This guards against a list that becomes fresh again because the calls that
+/// broke at the same moment count as connections that broke in a row, which is an outage.
 #[tokio::test]
 async fn an_endpoint_drains_before_a_restart_breaks_several_open_calls_at_once() {
     let scenario = start_watching().await;
@@ -84,10 +86,10 @@
     history.calls.iter().filter(|call| call.end.is_none()).count()
 }
 
-/// A service that was down, and rejected each call, is back and rejects each call because other callers take all of its
-/// time. The sender sees one outage.
+/// A service that rejected each call during an outage is back, and rejects each call because other callers
+/// overload it. To the sender this is one outage.
 #[tokio::test]
-async fn a_crowd_rejects_calls_in_the_way_of_the_outage_before_it() {
+async fn an_overloaded_service_rejects_calls_as_it_did_during_the_outage_before() {
     let scenario = start_watching().await;
     scenario.outage(DiscoveryBehavior::Reject503, OUTAGE).await;
     scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: Duration::ZERO });
@@ -97,9 +99,9 @@
     scenario.finish_after(LONGEST_SLOW_DELAY).await;
 }
 
-/// An endpoint drains between two processes, and the second one finds the service down. This is allowed: after a failed call a
-/// list may be four times as old as the settings say, "counted anew when discovery is back" (STANDING), so that the list of
-/// the configuration may be used until then.
+/// An endpoint drains after the end of a process, and the service is down when the next process starts. After
+/// a failed call, a list may be four times as old as the settings say, and its age counts from the moment at
+/// which discovery is back. So the new process may, and has to, use the list in its configuration until then.
 #[tokio::test]
 async fn a_process_that_starts_in_a_long_outage_uses_its_list_until_the_service_is_back() {
     let mut scenario = DrainScenario::start(DiscoveryMode::Ask, 6).await;
