--- a/tests/drain_outages.rs
+++ b/tests/drain_outages.rs
@@ -10,13 +10,13 @@
 const OUTAGE: Duration = Duration::from_secs(8);
 /// An outage that is longer than any backoff.
 const LONG_OUTAGE: Duration = Duration::from_secs(12);
-/// A watch that has been open for this long was taken up by the service. If it ends with an error status, the service has
-/// gone down.
+/// A watch that has been open for this long was accepted by the service. If it ends with an error status, the
+/// service has gone down.
 const WATCH_ESTABLISHED: Duration = Duration::from_secs(2);
-/// Within this time after an outage began, every sender has called.
+/// Within this time after the start of an outage, a call of every sender has failed.
 const FIRST_FAILURES: Duration = Duration::from_secs(2);
 
-/// An endpoint drains right after the service has returned.
+/// An endpoint drains right after the service is back.
 async fn drain_after_outage(sender_count: u64, behavior: DiscoveryBehavior, outage: Duration) {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, sender_count).await;
     scenario.discovery.until_followed().await;
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn eight_senders_learn_of_a_drain_while_no_connection_comes_up() {
+async fn five_senders_learn_of_a_drain_while_no_connection_is_established() {
     drain_during_outage(DiscoveryMode::Ask, 5, DiscoveryBehavior::NeverAccept, OUTAGE).await;
 }
 
@@ -99,17 +99,17 @@
 }
 
 #[tokio::test]
-async fn three_senders_learn_of_a_drain_while_no_connection_comes_up() {
+async fn three_senders_learn_of_a_drain_while_no_connection_is_established() {
     drain_during_outage(DiscoveryMode::Ask, 3, DiscoveryBehavior::NeverAccept, OUTAGE).await;
 }
 
 #[tokio::test]
-async fn pushed_lists_tell_of_a_drain_during_rejections() {
+async fn three_senders_with_pushed_lists_learn_of_a_drain_during_rejections() {
     drain_during_outage(DiscoveryMode::Push, 3, DiscoveryBehavior::Reject503, OUTAGE).await;
 }
 
 #[tokio::test]
-async fn pushed_lists_tell_of_a_drain_while_connections_are_refused() {
+async fn eight_senders_with_pushed_lists_learn_of_a_drain_while_connections_are_refused() {
     drain_during_outage(DiscoveryMode::Push, 8, DiscoveryBehavior::Refuse, OUTAGE).await;
 }
 
@@ -127,8 +127,8 @@
     scenario.finish_after(LONGEST_DELAY).await;
 }
 
-/// The service is down for a while and slow after that.
-async fn drain_before_slow_return(mode: DiscoveryMode, sender_count: u64, delay: Duration) {
+/// An endpoint drains while the service is down, and the service is slow after the outage.
+async fn drain_before_slow_service(mode: DiscoveryMode, sender_count: u64, delay: Duration) {
     let scenario = DrainScenario::start(mode, sender_count).await;
     scenario.discovery.until_followed().await;
     scenario.discovery.set_behavior(DiscoveryBehavior::Refuse);
@@ -140,18 +140,18 @@
 }
 
 #[tokio::test]
-async fn three_senders_find_a_slow_service_after_an_outage() {
-    drain_before_slow_return(DiscoveryMode::Ask, 3, Duration::from_millis(800)).await;
+async fn three_senders_learn_of_a_drain_from_a_slow_service_after_an_outage() {
+    drain_before_slow_service(DiscoveryMode::Ask, 3, Duration::from_millis(800)).await;
 }
 
 #[tokio::test]
-async fn eight_senders_find_a_slow_service_after_an_outage() {
-    drain_before_slow_return(DiscoveryMode::Ask, 8, Duration::from_millis(1500)).await;
+async fn eight_senders_learn_of_a_drain_from_a_slow_service_after_an_outage() {
+    drain_before_slow_service(DiscoveryMode::Ask, 8, Duration::from_millis(1500)).await;
 }
 
 #[tokio::test]
-async fn pushed_lists_come_late_after_an_outage() {
-    drain_before_slow_return(DiscoveryMode::Push, 3, Duration::from_millis(800)).await;
+async fn three_senders_with_pushed_lists_learn_of_a_drain_from_a_slow_agent_after_an_outage() {
+    drain_before_slow_service(DiscoveryMode::Push, 3, Duration::from_millis(800)).await;
 }
 
 #[tokio::test]
--- a/tests/drain_slow_discovery.rs
+++ b/tests/drain_slow_discovery.rs
@@ -1,4 +1,4 @@
-//! Drains while discovery is slow: its answers come late, drip, break off, or do not come at all.
+//! Drains while discovery is slow: its responses are late, arrive in small pieces, break off or never arrive.
 
 mod support;
 
@@ -8,7 +8,7 @@
 };
 use tokio::time::sleep;
 
-/// How long a service has been slow before an endpoint drains.
+/// How long the service has been slow before an endpoint drains.
 const BEFORE_DRAIN: Duration = Duration::from_secs(3);
 
 /// An endpoint drains after the service has been slow for a while.
@@ -26,57 +26,57 @@
 }
 
 #[tokio::test]
-async fn answers_come_after_0_8_seconds() {
+async fn responses_arrive_after_0_8_seconds() {
     drain_while(DiscoveryMode::Ask, 3, delayed(800, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn answers_come_after_1_5_seconds() {
+async fn responses_arrive_after_1_5_seconds() {
     drain_while(DiscoveryMode::Ask, 3, delayed(1500, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn answers_come_after_3_seconds() {
+async fn responses_arrive_after_3_seconds() {
     drain_while(DiscoveryMode::Ask, 3, delayed(3000, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn answers_with_the_latest_list_come_after_1_5_seconds() {
+async fn responses_with_the_latest_list_arrive_after_1_5_seconds() {
     drain_while(DiscoveryMode::Ask, 3, delayed(1500, AnswerContent::WhenWritten)).await;
 }
 
 #[tokio::test]
-async fn pushed_lists_come_after_0_8_seconds() {
+async fn pushed_lists_arrive_after_0_8_seconds() {
     drain_while(DiscoveryMode::Push, 3, delayed(800, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn pushed_lists_come_after_1_5_seconds() {
+async fn pushed_lists_arrive_after_1_5_seconds() {
     drain_while(DiscoveryMode::Push, 3, delayed(1500, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn pushed_lists_come_after_3_seconds() {
+async fn pushed_lists_arrive_after_3_seconds() {
     drain_while(DiscoveryMode::Push, 3, delayed(3000, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn eight_senders_get_answers_after_3_seconds() {
+async fn responses_to_eight_senders_arrive_after_3_seconds() {
     drain_while(DiscoveryMode::Ask, 8, delayed(3000, AnswerContent::WhenDue)).await;
 }
 
 #[tokio::test]
-async fn answers_drip() {
+async fn responses_arrive_in_small_pieces() {
     drain_while(DiscoveryMode::Ask, 3, DiscoveryBehavior::Drip { duration: Duration::from_secs(2) }).await;
 }
 
 #[tokio::test]
-async fn answers_to_eight_senders_drip() {
+async fn responses_to_eight_senders_arrive_in_small_pieces() {
     drain_while(DiscoveryMode::Ask, 8, DiscoveryBehavior::Drip { duration: Duration::from_secs(4) }).await;
 }
 
-/// The service breaks off its answers for a while.
-async fn drain_while_answers_break_off(sender_count: u64) {
+/// An endpoint drains while the service breaks off its responses.
+async fn drain_while_responses_break_off(sender_count: u64) {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, sender_count).await;
     scenario.discovery.until_followed().await;
     scenario.discovery.set_behavior(DiscoveryBehavior::BreakOff);
@@ -88,25 +88,25 @@
 }
 
 #[tokio::test]
-async fn answers_break_off() {
-    drain_while_answers_break_off(3).await;
+async fn responses_break_off() {
+    drain_while_responses_break_off(3).await;
 }
 
 #[tokio::test]
-async fn answers_to_eight_senders_break_off() {
-    drain_while_answers_break_off(8).await;
+async fn responses_to_eight_senders_break_off() {
+    drain_while_responses_break_off(8).await;
 }
 
 #[tokio::test]
-async fn calls_are_answered_in_turn() {
-    let crowded = DiscoveryBehavior::CrowdedSerial {
+async fn calls_are_served_one_at_a_time() {
+    let overloaded = DiscoveryBehavior::CrowdedSerial {
         service_time: Duration::from_millis(700),
         patience: Duration::from_secs(2),
     };
-    drain_while(DiscoveryMode::Ask, 3, crowded).await;
+    drain_while(DiscoveryMode::Ask, 3, overloaded).await;
 }
 
-/// The service accepts calls and stays silent for this long; an endpoint drains in the middle of that.
+/// An endpoint drains in the middle of a time in which the service accepts calls and sends nothing.
 async fn drain_during_silence(mode: DiscoveryMode, sender_count: u64, silence: Duration) {
     let scenario = DrainScenario::start(mode, sender_count).await;
     scenario.discovery.until_followed().await;
@@ -134,14 +134,14 @@
 }
 
 #[tokio::test]
-async fn the_service_is_silent_for_longer_than_a_list_may_be_old() {
+async fn the_service_is_silent_for_longer_than_the_freshness_bound() {
     drain_during_silence(DiscoveryMode::Ask, 3, Duration::from_secs(16)).await;
 }
 
-/// The open watches fall silent after a quiet time.
-async fn drain_after_watches_fell_silent(mode: DiscoveryMode, quiet: Duration) {
+/// The service stops responding to the open watches after a time without changes, and an endpoint drains.
+async fn drain_after_open_watches_fall_silent(mode: DiscoveryMode, time_without_changes: Duration) {
     let scenario = DrainScenario::start(mode, 3).await;
-    sleep(quiet).await;
+    sleep(time_without_changes).await;
     scenario.discovery.until_watched().await;
     scenario.discovery.silence_open_watches();
     scenario.drain();
@@ -150,15 +150,15 @@
 
 #[tokio::test]
 async fn open_watches_fall_silent_at_once() {
-    drain_after_watches_fell_silent(DiscoveryMode::Ask, Duration::ZERO).await;
+    drain_after_open_watches_fall_silent(DiscoveryMode::Ask, Duration::ZERO).await;
 }
 
 #[tokio::test]
-async fn open_watches_fall_silent_after_a_quiet_time() {
-    drain_after_watches_fell_silent(DiscoveryMode::Ask, Duration::from_secs(10)).await;
+async fn open_watches_fall_silent_after_a_time_without_changes() {
+    drain_after_open_watches_fall_silent(DiscoveryMode::Ask, Duration::from_secs(10)).await;
 }
 
 #[tokio::test]
 async fn open_watches_fall_silent_where_lists_are_pushed() {
-    drain_after_watches_fell_silent(DiscoveryMode::Push, Duration::from_secs(10)).await;
+    drain_after_open_watches_fall_silent(DiscoveryMode::Push, Duration::from_secs(10)).await;
 }
