--- a/tests/soak.rs
+++ b/tests/soak.rs
@@ -1,8 +1,10 @@
-//! Fleets of real processes under many faults at once, by seed.
+//! Fleets of real processes under many faults at once. A seed determines the plan of each run.
 //!
-//! Endpoints are released, fast or slowly, processes are restarted, upgraded, held up and killed, discovery is slow, crowded,
-//! silent, down or moved, answers get lost, clocks differ, state folders fail, and clients stay until the kill.
-//! CI plays a few seeds. More are played by `SOAK_SEEDS=FROM-TO cargo test --test soak`, a few dozen at a time.
+//! Endpoints are replaced, fast or slowly; processes are restarted, upgraded, paused and killed; discovery is
+//! slow, overloaded, silent, down or moved; responses get lost, clocks differ, state folders cannot be
+//! written, and clients stay connected until SIGKILL.
+//!
+//! CI runs a few seeds. `SOAK_SEEDS=FROM-TO cargo test --test soak` runs others, a few dozen at a time.
 
 mod support;
 mod support_soak;
@@ -19,20 +21,18 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// The seeds that CI plays.
+/// The seeds that CI runs.
 const CI_SEEDS: RangeInclusive<u64> = 1..=20;
-/// The processes of the runs that are played beside each other.
+/// The most processes that all concurrent runs may have together.
 const PARALLEL_PROCESSES: usize = 180;
-
-/// A run takes as much of them as this many processes at least.
+/// A run counts as this many processes at least, because a small fleet has more traffic for each process.
 const MIN_WEIGHT: usize = 12;
-
-/// The problems of a run that are printed.
-const SHOWN_PROBLEMS: usize = 8;
+/// How many problems of a run are printed.
+const MAX_PRINTED_PROBLEMS: usize = 8;
 /// The list of known failures.
-const KNOWN_RED_LIST: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/KNOWN-RED.txt");
-/// No run takes longer.
-const MAX_RUN: Duration = Duration::from_secs(90);
+const KNOWN_RED_PATH: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/KNOWN-RED.txt");
+/// The time limit of a run.
+const MAX_RUN_DURATION: Duration = Duration::from_secs(90);
 
 /// The seeds that `SOAK_SEEDS` names, or those of CI.
 fn seeds() -> RangeInclusive<u64> {
@@ -41,9 +41,9 @@
     from.parse().expect("a number")..=to.parse().expect("a number")
 }
 
-/// The cases of this test in the list of known failures. CI prints what they break, and does not fail for it.
+/// The seeds in the list of known failures. CI prints their problems, and does not fail because of them.
 fn known_red_seeds() -> BTreeSet<u64> {
-    let list = fs::read_to_string(KNOWN_RED_LIST).unwrap_or_default();
+    let list = fs::read_to_string(KNOWN_RED_PATH).unwrap_or_default();
     let cases = list.lines().filter_map(|line| line.split_once("SOAK_SEEDS=")?.1.split_once(' '));
     let ranges = cases.filter_map(|(range, _)| range.split_once('-'));
     ranges.filter_map(|(from, to)| Some(from.parse().ok()?..=to.parse().ok()?)).flatten().collect()
@@ -57,15 +57,14 @@
         let permits = permits.clone();
         runs.spawn(async move {
             let plan = Plan::of_seed(seed);
-            // A small fleet has more traffic for each process.
             let weight = plan.members.len().max(MIN_WEIGHT) as u32;
-            let _permits = permits.acquire_many(weight).await.expect("it is not closed");
+            let _permits = permits.acquire_many(weight).await.expect("the semaphore is not closed");
             let delays = DelayMonitor::start();
-            let played = timeout(MAX_RUN, fleet::play(plan.clone())).await;
-            let mut problems = played.unwrap_or_else(|_| vec!["the run does not end".to_owned()]);
+            let outcome = timeout(MAX_RUN_DURATION, fleet::run(plan.clone())).await;
+            let mut problems = outcome.unwrap_or_else(|_| vec!["the run has not ended in time".to_owned()]);
             if !problems.is_empty() {
                 eprintln!("seed {seed}: {plan:?}");
-                problems.push(format!("the test itself was late by up to {:?}", delays.longest()));
+                problems.push(format!("timers of the test fired up to {:?} late", delays.longest()));
             }
             (seed, problems)
         });
@@ -83,6 +82,6 @@
 }
 
 fn describe((seed, problems): &(u64, Vec<String>)) -> String {
-    let shown = &problems[..problems.len().min(SHOWN_PROBLEMS)];
+    let shown = &problems[..problems.len().min(MAX_PRINTED_PROBLEMS)];
     format!("seed {seed}: {} problems\n  {}", problems.len(), shown.join("\n  "))
 }
--- a/tests/support_soak/client.rs
+++ b/tests/support_soak/client.rs
@@ -1,4 +1,4 @@
-//! Clients that keep their connections, and use them for as long as these stay open.
+//! Clients that submit messages on persistent connections.
 
 use crate::support::POLL_INTERVAL;
 use std::collections::BTreeMap;
@@ -10,35 +10,35 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A request without an answer after this time has none.
-const ANSWER_TIMEOUT: Duration = Duration::from_secs(3);
-/// A connection that does not come up in this time is refused.
+/// The time limit of a response.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The time limit of establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a message may be delivered.
+/// The deadline of each message, from its submission.
 pub(crate) const MESSAGE_DEADLINE: Duration = Duration::from_secs(5);
 
-/// What became of a submitted message, as its client sees it.
+/// The result of a submission, as the client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Answer {
-    /// It was accepted or delivered.
-    TakenOn,
-    /// It was refused, or has failed.
+pub(crate) enum SubmitResult {
+    /// The response says that the message was accepted or delivered.
+    Accepted,
+    /// The response says that the message was rejected or has failed.
     Rejected,
-    /// No new connection came up.
+    /// No connection was established.
     NotConnected,
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     Closed,
-    /// There was no answer in time.
+    /// No response arrived in time.
     TimedOut,
 }
 
 /// A message that was submitted.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Submission {
-    /// When its last byte was written, the last time that it was sent.
+    /// When the last byte of the last request with the message was written.
     pub sent_at: Instant,
-    pub answered_at: Instant,
-    pub answer: Answer,
+    pub finished_at: Instant,
+    pub result: SubmitResult,
 }
 
 /// The messages of a client by their ids, shared with the task that submits them.
@@ -51,19 +51,19 @@
     }
 }
 
-/// A client with one connection.
-pub(crate) struct KeptClient {
+/// A client that submits messages on one connection at a time.
+pub(crate) struct PersistentClient {
     pub address: SocketAddr,
-    /// The ids of its messages are this name, a hyphen and a number.
+    /// The ids of the messages are this name, a hyphen and a number.
     pub name: String,
     pub class: &'static str,
-    /// The time between two requests.
+    /// The time between a response and the next request.
     pub interval: Duration,
     pub submissions: Submissions,
 }
 
-impl KeptClient {
-    /// Submits messages until this time.
+impl PersistentClient {
+    /// Submits messages until `until`.
     pub(crate) async fn run(self, until: Instant) {
         let mut connection = None;
         let mut number = 0_u64;
@@ -71,18 +71,18 @@
             let id = format!("{}-{number}", self.name);
             number += 1;
             let submission = self.submit(&mut connection, &id).await;
-            let is_answered = matches!(submission.answer, Answer::TakenOn | Answer::Rejected);
+            let has_response = matches!(submission.result, SubmitResult::Accepted | SubmitResult::Rejected);
             self.submissions.lock().insert(id, submission);
-            sleep(if is_answered { self.interval } else { POLL_INTERVAL * 4 }).await;
+            sleep(if has_response { self.interval } else { POLL_INTERVAL * 4 }).await;
         }
     }
 
-    /// Submits a message on the open connection. If that ends without an answer, its end may have crossed the request,
-    /// which is sent once more on a new one.
+    /// Submits a message on the open connection. If that ends without a response, it may have been closed
+    /// while the request was on its way, so the request is sent once more on a new connection.
     async fn submit(&self, connection: &mut Option<TcpStream>, id: &str) -> Submission {
         if let Some(kept) = connection.take() {
             let submission = self.submit_on(kept, connection, id).await;
-            if submission.answer != Answer::Closed {
+            if submission.result != SubmitResult::Closed {
                 return submission;
             }
         }
@@ -90,32 +90,32 @@
             Ok(Ok(new)) => self.submit_on(new, connection, id).await,
             _ => Submission {
                 sent_at: Instant::now(),
-                answered_at: Instant::now(),
-                answer: Answer::NotConnected,
+                finished_at: Instant::now(),
+                result: SubmitResult::NotConnected,
             },
         }
     }
 
-    /// Submits a message, and keeps the connection if it may be used further.
+    /// Submits a message, and stores the connection in `kept` if it can be reused.
     async fn submit_on(&self, mut stream: TcpStream, kept: &mut Option<TcpStream>, id: &str) -> Submission {
         let request = request_text(self.class, id);
         let written = stream.write_all(request.as_bytes()).await;
         let sent_at = Instant::now();
         let response = match written {
-            Ok(()) => timeout(ANSWER_TIMEOUT, read_response(&mut stream)).await,
+            Ok(()) => timeout(RESPONSE_TIMEOUT, read_response(&mut stream)).await,
             Err(error) => Ok(Err(error)),
         };
-        let answer = match response {
+        let result = match response {
             Ok(Ok(head)) => {
                 if !head.to_ascii_lowercase().contains("connection: close") {
                     *kept = Some(stream);
                 }
-                if head.starts_with("HTTP/1.1 20") { Answer::TakenOn } else { Answer::Rejected }
+                if head.starts_with("HTTP/1.1 20") { SubmitResult::Accepted } else { SubmitResult::Rejected }
             }
-            Ok(Err(_)) => Answer::Closed,
-            Err(_) => Answer::TimedOut,
+            Ok(Err(_)) => SubmitResult::Closed,
+            Err(_) => SubmitResult::TimedOut,
         };
-        Submission { sent_at, answered_at: Instant::now(), answer }
+        Submission { sent_at, finished_at: Instant::now(), result }
     }
 }
 
@@ -142,9 +142,9 @@
     Ok(head)
 }
 
-/// Connects, sends a part of a request and stays. Returns whether an error or a close came within this time; an address that
-/// takes no connection counts as a close.
-pub(crate) async fn halt_in_request(address: SocketAddr, limit: Duration) -> bool {
+/// Sends a part of a request and leaves the connection open. Returns whether an error response or a close
+/// arrived within `limit`. A connection that is not established counts as a close.
+pub(crate) async fn stall_in_request(address: SocketAddr, limit: Duration) -> bool {
     let Ok(Ok(mut stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await else { return true };
     if stream.write_all(b"POST /keyed HTTP/1.1\r\nHost: a\r\nContent-Length: 9\r\n").await.is_err() {
         return true;
--- a/tests/support_soak/delay_monitor.rs
+++ b/tests/support_soak/delay_monitor.rs
@@ -1,4 +1,5 @@
-//! How late the test program itself is, which plays discovery, the endpoints and the clients.
+//! Measures how late the test program is. It acts as discovery, endpoints and clients, so its delays can
+//! cause problems that are not those of a forwarder.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -6,7 +7,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// The time between two looks at the clock.
+/// The interval of the measurements.
 const INTERVAL: Duration = Duration::from_millis(5);
 
 /// Measures by how much timers of the test fire late, until it is dropped.
--- a/tests/support_soak/fleet.rs
+++ b/tests/support_soak/fleet.rs
@@ -1,8 +1,10 @@
-//! Plays a plan with real processes, and returns what was broken.
+//! Runs a plan with real processes, and returns the rule violations.
 
-use super::client::{KeptClient, MESSAGE_DEADLINE, Submissions, halt_in_request};
-use super::plan::{BEFORE_KILL, Incident, LISTED_ENDPOINTS, MemberPlan, Plan, ProcessStep, TRAFFIC};
-use super::rules::{MemberRecord, RunRecord, broken_rules};
+use super::client::{MESSAGE_DEADLINE, PersistentClient, Submissions, stall_in_request};
+use super::plan::{
+    Incident, LISTED_ENDPOINTS, MemberPlan, Plan, ProcessStep, TERMINATION_GRACE, TRAFFIC_DURATION,
+};
+use super::rules::{MemberRecord, RunRecord, rule_violations};
 use crate::support::{
     DESTINATION, EndpointBehavior, FirstByteEndpoint, ForwarderProcess, ForwarderTimeline, ScriptedDiscovery,
     drain_settings, endpoint, set_discovery,
@@ -15,10 +17,10 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-/// A peer that stops in the middle of a request gets an error or a close within this time.
-const HALTED_PEER_TIMEOUT: Duration = Duration::from_millis(3500);
-/// After the last message is out of time, its notice has arrived by then.
-const SETTLING: Duration = Duration::from_secs(3);
+/// A client that stops in the middle of a request gets an error response or a close within this time.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_millis(3500);
+/// Within this time after the last message has expired, its notice has arrived.
+const NOTICE_ALLOWANCE: Duration = Duration::from_secs(3);
 
 /// What the tasks of a run share.
 struct SharedRun {
@@ -26,8 +28,8 @@
     endpoints: Vec<FirstByteEndpoint>,
 }
 
-/// Plays a run.
-pub(crate) async fn play(plan: Plan) -> Vec<String> {
+/// Carries out a plan, and returns the rule violations.
+pub(crate) async fn run(plan: Plan) -> Vec<String> {
     let mut endpoints = Vec::new();
     for _ in 0..plan.endpoints {
         endpoints.push(FirstByteEndpoint::start().await);
@@ -36,7 +38,7 @@
         (0..LISTED_ENDPOINTS).map(|index| record(&endpoints, index, "in_service")).collect();
     let mut discovery = ScriptedDiscovery::start(records.clone()).await;
     discovery.set_latency(plan.latency_ms);
-    discovery.set_behavior(plan.usual);
+    discovery.set_behavior(plan.default_behavior);
     let addresses: Vec<SocketAddr> = (0..plan.members.len())
         .map(|member| if member == 0 { discovery.address } else { discovery.add_caller() })
         .collect();
@@ -46,25 +48,25 @@
         starting.spawn(Member::start(member, address, records.clone(), plan.clone()));
     }
     let members = starting.join_all().await;
-    let began_at = Instant::now();
-    let incidents = tokio::spawn(play_incidents(plan.clone(), shared.clone(), began_at));
-    let mut playing = JoinSet::new();
+    let started_at = Instant::now();
+    let incidents = tokio::spawn(run_incidents(plan.clone(), shared.clone(), started_at));
+    let mut runs = JoinSet::new();
     for member in members {
-        playing.spawn(member.play(plan.clone(), shared.clone(), began_at));
+        runs.spawn(member.run(plan.clone(), shared.clone(), started_at));
     }
-    let played = playing.join_all().await;
-    incidents.await.expect("the incidents are played");
-    sleep(MESSAGE_DEADLINE + SETTLING).await;
-    // Read before the members lock the service again.
-    let noticed = shared.lock_discovery().noticed_messages();
+    let finished = runs.join_all().await;
+    incidents.await.expect("the task of the incidents has ended");
+    sleep(MESSAGE_DEADLINE + NOTICE_ALLOWANCE).await;
+    // A separate statement, because the members lock the service again to create their records.
+    let noticed_messages = shared.lock_discovery().noticed_messages();
     let record = RunRecord {
         settings: drain_settings(plan.mode),
         destination: DESTINATION,
-        noticed,
+        noticed_messages,
         first_bytes: shared.endpoints.iter().flat_map(FirstByteEndpoint::first_bytes).collect(),
-        members: played.iter().map(|member| member.record(&shared)).collect(),
+        members: finished.iter().map(|member| member.record(&shared)).collect(),
     };
-    broken_rules(&record)
+    rule_violations(&record)
 }
 
 impl SharedRun {
@@ -77,9 +79,9 @@
     endpoint(&format!("endpoint{index}"), endpoints[index].address, DESTINATION, "plain", state)
 }
 
-async fn play_incidents(plan: Plan, shared: Arc<SharedRun>, began_at: Instant) {
+async fn run_incidents(plan: Plan, shared: Arc<SharedRun>, started_at: Instant) {
     for (at, incident) in &plan.incidents {
-        sleep_until((began_at + *at).into()).await;
+        sleep_until((started_at + *at).into()).await;
         match *incident {
             Incident::Drain(index) => {
                 shared.lock_discovery().change(record(&shared.endpoints, index, "terminating"));
@@ -89,14 +91,14 @@
                 shared.lock_discovery().change(record(&shared.endpoints, index, "in_service"));
             }
             Incident::RestartDiscovery => shared.lock_discovery().restart_at_revision(1),
-            Incident::SpoilAnswer(member, fault) => shared.lock_discovery().spoil_next_answer(member, fault),
+            Incident::FailResponse(member, fault) => shared.lock_discovery().spoil_next_answer(member, fault),
             Incident::SilenceWatches => shared.lock_discovery().silence_open_watches(),
             Incident::Discovery(behavior, duration) => {
                 shared.lock_discovery().set_behavior(behavior);
-                let (shared, usual) = (shared.clone(), plan.usual);
+                let (shared, default_behavior) = (shared.clone(), plan.default_behavior);
                 tokio::spawn(async move {
                     sleep(duration).await;
-                    shared.lock_discovery().set_behavior(usual);
+                    shared.lock_discovery().set_behavior(default_behavior);
                 });
             }
             Incident::Endpoint(index, behavior, duration) => {
@@ -116,16 +118,16 @@
     number: usize,
     forwarder: ForwarderProcess,
     timeline: ForwarderTimeline,
-    /// When signals that end the process were sent.
+    /// When SIGTERM and SIGKILL were sent to the process.
     ended_at: Vec<Instant>,
-    /// When it was ready after each start.
+    /// When the process was ready after each start.
     ready_at: Vec<Instant>,
     submissions: Submissions,
-    crowd: Vec<TcpStream>,
-    /// Processes that were upgraded, until they are killed.
+    idle_clients: Vec<TcpStream>,
+    /// The tasks that kill predecessors after an upgrade.
     predecessors: JoinSet<()>,
-    /// Peers that stopped in the middle of a request and got neither an error nor a close.
-    ignored_peers: usize,
+    /// How many clients stopped in the middle of a request and got neither an error nor a close.
+    ignored_clients: usize,
 }
 
 impl Member {
@@ -143,9 +145,9 @@
             forwarder.shift_stored_timeline(step);
             forwarder.restart().await;
         }
-        let mut crowd = Vec::new();
-        for _ in 0..plan.traffic.crowd {
-            crowd.extend(TcpStream::connect(forwarder.address).await.ok());
+        let mut idle_clients = Vec::new();
+        for _ in 0..plan.traffic.idle_clients {
+            idle_clients.extend(TcpStream::connect(forwarder.address).await.ok());
         }
         Member {
             number,
@@ -154,41 +156,41 @@
             ended_at: Vec::new(),
             ready_at: vec![Instant::now()],
             submissions: Submissions::default(),
-            crowd,
+            idle_clients,
             predecessors: JoinSet::new(),
-            ignored_peers: 0,
+            ignored_clients: 0,
         }
     }
 
-    async fn play(mut self, plan: Plan, shared: Arc<SharedRun>, began_at: Instant) -> Self {
+    async fn run(mut self, plan: Plan, shared: Arc<SharedRun>, started_at: Instant) -> Self {
         let mut clients = JoinSet::new();
-        // A single client submits messages of one class, which differs between the members.
+        // If each member has one client, the class of its messages alternates between the members.
         let first = if plan.traffic.clients == 1 { self.number % 2 } else { 0 };
         for client in first..first + plan.traffic.clients {
-            let kept = KeptClient {
+            let persistent_client = PersistentClient {
                 address: self.forwarder.address,
                 name: format!("member{}-{client}", self.number),
                 class: if client == 0 { "unsafe" } else { "keyed" },
                 interval: plan.traffic.interval,
                 submissions: self.submissions.clone(),
             };
-            clients.spawn(kept.run(began_at + TRAFFIC));
+            clients.spawn(persistent_client.run(started_at + TRAFFIC_DURATION));
         }
-        let mut halted_peers = JoinSet::new();
-        for _ in 0..plan.traffic.halted_peers {
-            halted_peers.spawn(halt_in_request(self.forwarder.address, HALTED_PEER_TIMEOUT));
+        let mut stalled_clients = JoinSet::new();
+        for _ in 0..plan.traffic.stalled_clients {
+            stalled_clients.spawn(stall_in_request(self.forwarder.address, STALLED_CLIENT_TIMEOUT));
         }
         for step in plan.members[self.number].steps.clone() {
-            self.take(step, &shared).await;
+            self.execute(step, &shared).await;
         }
         clients.join_all().await;
         while self.predecessors.join_next().await.is_some() {}
-        let ended = halted_peers.join_all().await;
-        self.ignored_peers = ended.into_iter().filter(|ended| !ended).count();
+        let ended = stalled_clients.join_all().await;
+        self.ignored_clients = ended.into_iter().filter(|ended| !ended).count();
         self
     }
 
-    async fn take(&mut self, step: ProcessStep, shared: &SharedRun) {
+    async fn execute(&mut self, step: ProcessStep, shared: &SharedRun) {
         match step {
             ProcessStep::Wait(duration) => sleep(duration).await,
             ProcessStep::Terminate => {
@@ -198,7 +200,7 @@
             ProcessStep::Kill => {
                 self.ended_at.push(Instant::now());
                 self.forwarder.kill();
-                self.crowd.clear();
+                self.idle_clients.clear();
             }
             ProcessStep::Start => {
                 self.timeline.starts.push(Instant::now());
@@ -206,12 +208,12 @@
                 self.ready_at.push(Instant::now());
             }
             ProcessStep::Upgrade => self.upgrade().await,
-            ProcessStep::FailDisk(duration) => {
+            ProcessStep::FailStateWrites(duration) => {
                 self.forwarder.fail_journal_writes();
                 sleep(duration).await;
                 self.forwarder.limit_files(None);
             }
-            ProcessStep::HoldUp(duration) => {
+            ProcessStep::Pause(duration) => {
                 self.forwarder.pause();
                 sleep(duration).await;
                 self.forwarder.resume();
@@ -232,7 +234,7 @@
         self.timeline.upgrades.push(start..Instant::now());
         predecessor.terminate();
         self.predecessors.spawn(async move {
-            sleep(BEFORE_KILL).await;
+            sleep(TERMINATION_GRACE).await;
             predecessor.kill();
         });
     }
@@ -244,7 +246,7 @@
             ended_at: self.ended_at.clone(),
             ready_at: self.ready_at.clone(),
             submissions: self.submissions.lock().clone(),
-            ignored_peers: self.ignored_peers,
+            ignored_clients: self.ignored_clients,
             discovery: shared.lock_discovery().history_of(self.number),
         }
     }
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -1,55 +1,56 @@
-//! What happens in one run, chosen by its seed.
+//! The plan of one run: its traffic and faults, which a seed determines.
 
+use super::additional_faults;
 use super::random::Choices;
-use super::wider_faults;
 use crate::support::{
     AnswerContent, AnswerFault, ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, StartOptions,
 };
 use std::time::Duration;
 
 /// How long clients submit messages.
-pub(crate) const TRAFFIC: Duration = Duration::from_secs(17);
-/// After this time nothing fails any more.
+pub(crate) const TRAFFIC_DURATION: Duration = Duration::from_secs(17);
+/// After this time in a run, in milliseconds, no fault of discovery or of an endpoint begins, and those with
+/// a duration have ended.
 const LAST_FAULT_MS: u64 = 15_000;
-/// From SIGTERM to SIGKILL.
-pub(crate) const BEFORE_KILL: Duration = Duration::from_millis(3700);
-/// From SIGKILL to the next start.
-const BEFORE_START: Duration = Duration::from_millis(600);
-/// A configuration changes no sooner after a start.
-const BEFORE_RELOAD: Duration = Duration::from_millis(1100);
-/// The members of a fleet do not restart all at once: each so much later than the one before.
-const BETWEEN_MEMBERS: Duration = Duration::from_millis(1100);
+/// The time from SIGTERM to SIGKILL.
+pub(crate) const TERMINATION_GRACE: Duration = Duration::from_millis(3700);
+/// The time from SIGKILL to the next start.
+const RESTART_DELAY: Duration = Duration::from_millis(600);
+/// The time from a start to the next change of the configuration.
+const RELOAD_DELAY: Duration = Duration::from_millis(1100);
+/// The members of a fleet restart one after the other, each this much later than the one before.
+const MEMBER_RESTART_INTERVAL: Duration = Duration::from_millis(1100);
 /// The last member of a larger fleet restarts at most this much later than the first one.
-const LONGEST_ROLL: Duration = Duration::from_secs(7);
-/// For how long a process is held up at the most. Stopping and continuing it takes some time as well.
-const HOLD_UP_MS: u64 = 100;
-/// The endpoints that are listed when a run begins. The first of them stays.
+const MAX_ROLLING_RESTART: Duration = Duration::from_secs(7);
+/// The longest pause of a process. Stopping and continuing the process takes additional time.
+const MAX_PAUSE_MS: u64 = 100;
+/// The number of endpoints that are listed when a run begins. The first of them is never drained.
 pub(crate) const LISTED_ENDPOINTS: usize = 4;
-/// The number of all endpoints is less than this.
-const MAX_ENDPOINTS: u64 = 13;
+/// The exclusive upper bound of the number of all endpoints.
+const ENDPOINTS_UPPER_BOUND: u64 = 13;
 
 /// Something that happens to discovery, endpoints or connections, at a time after the start of the run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Incident {
     /// The endpoint with this index drains.
     Drain(usize),
-    /// It leaves the list.
+    /// The endpoint with this index is removed from the list.
     Remove(usize),
-    /// It is listed in service, for the first time or again.
+    /// The endpoint with this index is listed in service, for the first time or again.
     Add(usize),
-    /// The next answer to this member is spoilt.
-    SpoilAnswer(usize, AnswerFault),
+    /// The next response to this member fails in this way.
+    FailResponse(usize, AnswerFault),
     /// Discovery behaves like this for some time.
     Discovery(DiscoveryBehavior, Duration),
-    /// Discovery loses its connections, and counts revisions from a lower one on.
+    /// Discovery resets all connections, and its revisions start from 1.
     RestartDiscovery,
-    /// The open watches fall silent.
+    /// Discovery does not respond to the open watches.
     SilenceWatches,
     /// The endpoint with this index behaves like this for some time.
     Endpoint(usize, EndpointBehavior, Duration),
 }
 
-/// A step in the life of a process.
+/// A step in the plan of a member, which concerns its process.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ProcessStep {
     Wait(Duration),
@@ -58,18 +59,18 @@
     Start,
     /// A successor takes over, and the predecessor is terminated and killed.
     Upgrade,
-    /// It is stopped for this long.
-    HoldUp(Duration),
+    /// The process is stopped for this long.
+    Pause(Duration),
     /// Discovery moves to another address, and the process gets SIGHUP.
     MoveDiscovery,
-    /// Its state folder cannot be written for this long.
-    FailDisk(Duration),
+    /// The state folder cannot be written for this long.
+    FailStateWrites(Duration),
 }
 
 /// One member of the fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberPlan {
-    /// The wall clock was stepped before the run.
+    /// The step of the wall clock before the run, if there is one.
     pub clock_step: Option<ClockStep>,
     pub options: StartOptions,
     pub steps: Vec<ProcessStep>,
@@ -78,54 +79,54 @@
 /// The traffic of each member.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Traffic {
-    /// Clients with a connection each.
+    /// The number of clients that submit messages, each on its own connection.
     pub clients: usize,
-    /// The time between two requests of a client.
+    /// The time between a response to a client and its next request.
     pub interval: Duration,
-    /// Clients that connect and send nothing.
-    pub crowd: usize,
-    /// Peers that stop in the middle of a request and stay.
-    pub halted_peers: usize,
+    /// The number of clients that connect and send nothing.
+    pub idle_clients: usize,
+    /// The number of clients that stop in the middle of a request and stay connected.
+    pub stalled_clients: usize,
 }
 
-/// One run.
+/// The plan of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub mode: DiscoveryMode,
     pub latency_ms: u64,
-    /// How discovery behaves when nothing else is said.
-    pub usual: DiscoveryBehavior,
-    /// All endpoints, those included that are listed later.
+    /// How discovery behaves while it has no fault.
+    pub default_behavior: DiscoveryBehavior,
+    /// The number of endpoints, including those that are listed later.
     pub endpoints: usize,
     pub traffic: Traffic,
-    /// In the order of their times.
+    /// The incidents and their times after the start of the run, sorted by time.
     pub incidents: Vec<(Duration, Incident)>,
     pub members: Vec<MemberPlan>,
 }
 
 impl Plan {
-    /// The run of this seed.
+    /// The plan that `seed` determines.
     pub(crate) fn of_seed(seed: u64) -> Self {
         let mut choices = Choices::new(seed);
-        let senders = choose_senders(&mut choices);
+        let senders = choose_sender_count(&mut choices);
         let mode = if choices.happens(25) { DiscoveryMode::Push } else { DiscoveryMode::Ask };
-        let usual = choose_usual(&mut choices, mode);
+        let default_behavior = choose_default_behavior(&mut choices, mode);
         let latency_ms = choices.number(5..45);
         let traffic = choose_traffic(&mut choices, senders);
-        let endpoints = choices.number(5..MAX_ENDPOINTS) as usize;
+        let endpoints = choices.number(5..ENDPOINTS_UPPER_BOUND) as usize;
         let mut incidents = Vec::new();
-        plan_release(&mut choices, endpoints, &mut incidents);
+        plan_list_changes(&mut choices, endpoints, &mut incidents);
         plan_discovery_faults(&mut choices, senders, mode, &mut incidents);
         plan_endpoint_faults(&mut choices, endpoints, &mut incidents);
         incidents.sort_by_key(|(at, _)| *at);
         let members = (0..senders).map(|member| plan_member(&mut choices, member, senders)).collect();
-        let mut plan = Plan { mode, latency_ms, usual, endpoints, traffic, incidents, members };
-        wider_faults::add(&mut plan, seed);
+        let mut plan = Plan { mode, latency_ms, default_behavior, endpoints, traffic, incidents, members };
+        additional_faults::add(&mut plan, seed);
         plan
     }
 }
 
-fn choose_senders(choices: &mut Choices) -> u64 {
+fn choose_sender_count(choices: &mut Choices) -> u64 {
     match choices.number(0..100) {
         0..60 => choices.number(3..7),
         60..88 => choices.number(8..17),
@@ -133,7 +134,7 @@
     }
 }
 
-fn choose_usual(choices: &mut Choices, mode: DiscoveryMode) -> DiscoveryBehavior {
+fn choose_default_behavior(choices: &mut Choices, mode: DiscoveryMode) -> DiscoveryBehavior {
     if mode == DiscoveryMode::Push || choices.happens(40) {
         return DiscoveryBehavior::Healthy;
     }
@@ -144,7 +145,7 @@
     }
 }
 
-/// The requests of all members together stay within what the machine can handle.
+/// Limits the requests of all members together to what one machine can handle.
 fn choose_traffic(choices: &mut Choices, senders: u64) -> Traffic {
     let (clients, interval_ms) = match senders {
         0..8 => (4, 60),
@@ -154,13 +155,13 @@
     Traffic {
         clients,
         interval: Duration::from_millis(interval_ms),
-        crowd: if senders < 8 && choices.happens(30) { 60 } else { 0 },
-        halted_peers: if choices.happens(30) { 2 } else { 0 },
+        idle_clients: if senders < 8 && choices.happens(30) { 60 } else { 0 },
+        stalled_clients: if choices.happens(30) { 2 } else { 0 },
     }
 }
 
-/// Endpoints are added, drain and leave the list, one after the other; in some runs in fast succession and for long.
-fn plan_release(choices: &mut Choices, endpoints: usize, incidents: &mut Vec<(Duration, Incident)>) {
+/// Plans that endpoints are added, drained and removed one after the other, in some runs in fast succession.
+fn plan_list_changes(choices: &mut Choices, endpoints: usize, incidents: &mut Vec<(Duration, Incident)>) {
     let is_fast = choices.happens(50);
     let mut at = choices.milliseconds(1500..4000);
     for endpoint in 1..endpoints {
@@ -168,7 +169,7 @@
             incidents.push((at, Incident::Add(endpoint)));
             at += choices.milliseconds(300..900);
         }
-        // The last one that was added stays.
+        // The last endpoint stays in service.
         if endpoint + 1 == endpoints {
             break;
         }
@@ -184,7 +185,7 @@
             false => choices.milliseconds(800..4500),
         };
     }
-    incidents.retain(|(at, _)| *at < TRAFFIC);
+    incidents.retain(|(at, _)| *at < TRAFFIC_DURATION);
 }
 
 fn plan_discovery_faults(
@@ -195,13 +196,13 @@
 ) {
     for _ in 0..choices.number(1..5) {
         let member = choices.number(0..senders) as usize;
-        let late = AnswerFault::Outdated(choices.milliseconds(50..300));
-        let fault = choices.one_of(&[AnswerFault::Stall, AnswerFault::BreakOff, AnswerFault::Lose, late]);
-        incidents.push((choices.milliseconds(1000..LAST_FAULT_MS), Incident::SpoilAnswer(member, fault)));
+        let outdated = AnswerFault::Outdated(choices.milliseconds(50..300));
+        let fault = choices.one_of(&[AnswerFault::Stall, AnswerFault::BreakOff, AnswerFault::Lose, outdated]);
+        incidents.push((choices.milliseconds(1000..LAST_FAULT_MS), Incident::FailResponse(member, fault)));
     }
     for percent in [60, 20] {
         if choices.happens(percent) {
-            let behavior = choose_fault(choices, mode);
+            let behavior = choose_discovery_fault(choices, mode);
             let duration = choices.milliseconds(300..7000);
             let at = choices.milliseconds(1000..LAST_FAULT_MS - 7000);
             incidents.push((at, Incident::Discovery(behavior, duration)));
@@ -215,7 +216,7 @@
     }
 }
 
-fn choose_fault(choices: &mut Choices, mode: DiscoveryMode) -> DiscoveryBehavior {
+fn choose_discovery_fault(choices: &mut Choices, mode: DiscoveryMode) -> DiscoveryBehavior {
     let down = [
         DiscoveryBehavior::Reject503,
         DiscoveryBehavior::Refuse,
@@ -230,12 +231,12 @@
         DiscoveryBehavior::Drip { duration: choices.milliseconds(300..2000) },
         DiscoveryBehavior::Delayed { delay: choices.milliseconds(300..1500), content },
     ];
-    let crowded = [
+    let overloaded = [
         DiscoveryBehavior::CrowdedByOthers { patience: Duration::ZERO },
         DiscoveryBehavior::CrowdedByOthers { patience: Duration::from_secs(1) },
     ];
     match mode {
-        DiscoveryMode::Ask => choices.one_of(&[down.as_slice(), &slow, &crowded].concat()),
+        DiscoveryMode::Ask => choices.one_of(&[down.as_slice(), &slow, &overloaded].concat()),
         DiscoveryMode::Push => choices.one_of(&[down.as_slice(), &slow].concat()),
     }
 }
@@ -251,11 +252,12 @@
     }
 }
 
-/// A process is restarted, upgraded, held up, told to use another address of discovery or cannot write its state, one member
-/// after another.
+/// Plans the steps of a member: its process may be unable to write its state, be paused, get another address
+/// of discovery and be upgraded, and is restarted, later than that of the member before.
 fn plan_member(choices: &mut Choices, member: u64, senders: u64) -> MemberPlan {
-    let between = BETWEEN_MEMBERS.min(LONGEST_ROLL / senders as u32);
-    let mut steps = vec![ProcessStep::Wait(choices.milliseconds(1200..2500) + between * member as u32)];
+    let restart_interval = MEMBER_RESTART_INTERVAL.min(MAX_ROLLING_RESTART / senders as u32);
+    let mut steps =
+        vec![ProcessStep::Wait(choices.milliseconds(1200..2500) + restart_interval * member as u32)];
     let clock_step = match choices.number(0..100) {
         0..10 => Some(ClockStep::Forward),
         10..20 => Some(ClockStep::Back),
@@ -263,10 +265,10 @@
     };
     let has_file_limit = choices.happens(20);
     if has_file_limit {
-        steps.push(ProcessStep::FailDisk(choices.milliseconds(100..900)));
+        steps.push(ProcessStep::FailStateWrites(choices.milliseconds(100..900)));
     }
     if choices.happens(30) {
-        steps.push(ProcessStep::HoldUp(choices.milliseconds(20..HOLD_UP_MS)));
+        steps.push(ProcessStep::Pause(choices.milliseconds(20..MAX_PAUSE_MS)));
     }
     if choices.happens(25) {
         steps.extend([ProcessStep::MoveDiscovery, ProcessStep::Wait(choices.milliseconds(200..1500))]);
@@ -285,19 +287,19 @@
     if choices.happens(50) {
         steps.push(ProcessStep::Terminate);
         if choices.happens(20) {
-            // Signals in series.
+            // A second SIGTERM right after the first.
             steps.push(ProcessStep::Terminate);
         }
-        steps.push(ProcessStep::Wait(BEFORE_KILL));
+        steps.push(ProcessStep::Wait(TERMINATION_GRACE));
     }
-    steps.extend([ProcessStep::Kill, ProcessStep::Wait(BEFORE_START), ProcessStep::Start]);
+    steps.extend([ProcessStep::Kill, ProcessStep::Wait(RESTART_DELAY), ProcessStep::Start]);
     if choices.happens(25) {
-        // The new process is killed as well.
+        // The new process is killed, too.
         steps.extend([ProcessStep::Wait(choices.milliseconds(50..900)), ProcessStep::Kill]);
-        steps.extend([ProcessStep::Wait(BEFORE_START), ProcessStep::Start]);
+        steps.extend([ProcessStep::Wait(RESTART_DELAY), ProcessStep::Start]);
     }
     if choices.happens(25) {
-        steps.extend([ProcessStep::Wait(BEFORE_RELOAD), ProcessStep::MoveDiscovery]);
+        steps.extend([ProcessStep::Wait(RELOAD_DELAY), ProcessStep::MoveDiscovery]);
     }
     steps
 }
--- a/tests/support_soak/random.rs
+++ b/tests/support_soak/random.rs
@@ -1,4 +1,4 @@
-//! Pseudo-random choices of a run.
+//! Pseudo-random choices for the plan of a run.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -35,7 +35,7 @@
         values[self.number(0..values.len() as u64) as usize]
     }
 
-    /// Whether something happens that does so in this many of a hundred runs.
+    /// Returns true with a probability of `percent`.
     pub(crate) fn happens(&mut self, percent: u64) -> bool {
         self.number(0..100) < percent
     }
