--- a/tests/support_soak/fleet.rs
+++ b/tests/support_soak/fleet.rs
@@ -52,7 +52,7 @@
     let incidents = tokio::spawn(run_incidents(plan.clone(), shared.clone(), started_at));
     let mut runs = JoinSet::new();
     for member in members {
-        runs.spawn(member.run(plan.clone(), shared.clone(), started_at));
+        runs.spawn(member.run_plan(plan.clone(), shared.clone(), started_at));
     }
     let finished = runs.join_all().await;
     incidents.await.expect("the task of the incidents has ended");
@@ -162,7 +162,7 @@
         }
     }
 
-    async fn run(mut self, plan: Plan, shared: Arc<SharedRun>, started_at: Instant) -> Self {
+    async fn run_plan(mut self, plan: Plan, shared: Arc<SharedRun>, started_at: Instant) -> Self {
         let mut clients = JoinSet::new();
         // If each member has one client, the class of its messages alternates between the members.
         let first = if plan.traffic.clients == 1 { self.number % 2 } else { 0 };
