--- a/tests/acceptance.rs
+++ b/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! Which requests of clients are accepted, and with which status others are rejected.
+//! Which client requests are accepted, and with which status the others are rejected.
 
 mod support;
 
@@ -11,7 +11,7 @@
     let mut fixture = Fixture::start_with("plain", |configuration| turn_interval(configuration, 300.0)).await;
     fixture.begin_turn().await;
     let forwarder = &fixture.forwarder;
-    // Both get the same reply: a message without any time left is rejected.
+    // Both requests get the same reply: a message with no time left is rejected.
     let (a, b) = tokio::join!(forwarder.submit("unsafe", "late", 0), forwarder.submit("unsafe", "late", 0));
     assert_eq!((a.status().as_u16(), b.status().as_u16()), (503, 503));
     let (a, b) = tokio::join!(forwarder.submit("unsafe", "m", 9000), forwarder.submit("unsafe", "m", 9000));
@@ -31,10 +31,10 @@
         ("Idempotency-Key", "k"),
         ("Envelope", "dest=7"),
     ];
-    let long = "x".repeat(200);
+    let long_id = "x".repeat(200);
     for (name, value) in [
         ("Req-Id", None),
-        ("Req-Id", Some(long.as_str())),
+        ("Req-Id", Some(long_id.as_str())),
         ("Req-Owner", None),
         ("Req-Owner", Some("unknown")),
         ("Req-Deadline-Ms", None),
@@ -70,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn a_request_of_ambiguous_length_is_rejected_with_all_that_follows_it() {
+async fn a_request_of_ambiguous_length_is_rejected_with_everything_after_it() {
     let mut fixture = Fixture::start().await;
     let head = |id: &str| {
         format!(
@@ -78,8 +78,8 @@
              Req-Deadline-Ms: 9000\r\nIdempotency-Key: k\r\nEnvelope: dest=7\r\n"
         )
     };
-    let hidden = head("hidden") + "Content-Length: 0\r\n\r\n";
-    for more in [
+    let smuggled = head("hidden") + "Content-Length: 0\r\n\r\n";
+    for headers in [
         "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\nContent-Length: 5\r\n",
         "Transfer-Encoding: chunked\r\n",
@@ -89,11 +89,11 @@
         "Content-Length: -5\r\n",
     ] {
         let mut client = RawConnection::open(fixture.forwarder.address).await;
-        client.write(&format!("{}{more}\r\n0\r\n\r\n{hidden}", head("open"))).await;
+        client.write(&format!("{}{headers}\r\n0\r\n\r\n{smuggled}", head("open"))).await;
         let reply = client.read_to_end().await.text;
         assert!(
             reply.starts_with("HTTP/1.1 4") && reply.matches("HTTP/1.1").count() == 1,
-            "{more:?}: {reply:?}"
+            "{headers:?}: {reply:?}"
         );
     }
     assert!(fixture.endpoint.is_quiet(QUIET_PERIOD).await);
--- a/tests/batches.rs
+++ b/tests/batches.rs
@@ -1,4 +1,4 @@
-//! Messages that travel in one call.
+//! Batches: several messages that travel in one call.
 
 mod support;
 
@@ -30,8 +30,8 @@
     let states = json!([{"id": "taken", "state": "accepted"}, {"id": "faulty", "state": "fault"},
                         {"id": "later", "state": "deferred"}, {"nonsense": 1}]);
     call.respond_with(200, &[], &states.to_string());
-    // The faulty one and the one without a state may have been executed, and are not retried. The deferred
-    // one was not.
+    // `faulty`, and `missing` whose state is not in the response, may have been executed and are not retried.
+    // `later` was not executed.
     let retry = fixture.endpoint.next_call().await;
     assert_eq!((retry.path.as_str(), retry.header("req-id")), ("/hook", "later"));
     retry.respond(200);
@@ -44,8 +44,8 @@
 
 #[tokio::test]
 async fn a_message_that_times_out_in_a_batch_is_retried_only_after_the_call_has_ended() {
-    // A short latency objective, so that the attempt of the keyed message times out soon, while the other one
-    // lasts until its deadline.
+    // With a short latency objective, the attempt of the keyed message times out soon. The attempt of the
+    // other message lasts until its deadline.
     let mut fixture = Fixture::start_with("several", |configuration| {
         long_turns(configuration);
         configuration["settings"]["classes"][0]["goalTime"] = json!(100.0);
@@ -82,8 +82,8 @@
     );
     let call = fixture.endpoint.next_call().await;
     assert_eq!(serde_json::from_slice::<Vec<Value>>(&call.body).expect("an array").len(), 2);
-    // The client acts on the notice, so that the message must not be delivered after it. The other one may have been
-    // executed, and fails too.
+    // The client acts on the notice, so the message must not be delivered after it: the call ends. The other
+    // message may have been executed and fails too.
     let mut failed = fixture.discovery.notices().await;
     call.closed().await;
     while failed.len() < 2 {
