--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: slow, silent, broken, pipelined and too many.
+//! Client connections: slow, silent or broken clients, pipelining, and the connection limit.
 
 mod support;
 
@@ -22,7 +22,7 @@
     }
     assert_eq!(fixture.forwarder.submit("keyed", "m", 9000).await.status(), 202);
     fixture.endpoint.next_call().await.respond(200);
-    // In the end each gets an error status, or loses its connection.
+    // Each slow or broken client gets an error status, or its connection is closed.
     for mut client in slow {
         client.read_to_end().await;
     }
@@ -34,7 +34,7 @@
     let mut client = RawConnection::open(fixture.forwarder.address).await;
     let head =
         "POST /keyed HTTP/1.1\r\nHost: a\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 9000\r\nEnvelope: dest=7\r\n";
-    // The body alone takes more than a second, also on a kept connection.
+    // The body alone takes more than a second, on a new connection and on a kept-alive one.
     for id in ["a", "b"] {
         client
             .write(&format!("{head}Req-Id: {id}\r\nIdempotency-Key: {id}\r\nContent-Length: 4\r\n\r\nsl"))
@@ -91,26 +91,27 @@
     let Fixture { discovery: _discovery, endpoint: mut stub, forwarder } = Fixture::start().await;
     assert!(forwarder.admin_command("drain").await.starts_with("ACK"));
     let mut client = RawConnection::open(forwarder.address).await;
-    // Far more than is read ahead: the rest is still in the socket when the last reply is written.
+    // Far more than the forwarder reads ahead: the rest is still in the socket when it writes the last reply.
     let more: String = (0..400).map(|n| submission_text(&format!("more{n}"))).collect();
     client.write(&format!("{}{more}", submission_text("m"))).await;
     let replies = client.read_to_end().await;
     assert!(replies.text.starts_with("HTTP/1.1 202"), "{replies:?}");
     assert_eq!(replies.text.matches("HTTP/1.1").count(), 1, "{replies:?}");
     assert!(replies.error.is_none(), "{replies:?}");
-    // The forwarder reads what still arrives: otherwise it would send a reset, which could discard the reply.
+    // The forwarder reads what still arrives: otherwise it would send a reset, which could discard the
+    // reply.
     for _ in 0..20 {
         client.write("more").await;
         sleep(POLL_INTERVAL).await;
     }
-    // It does not wait forever for a client that keeps its side open.
+    // The forwarder does not wait forever for a client that keeps its side open.
     let reset = async {
         while client.stream.write_all(b"more").await.is_ok() {
             sleep(POLL_INTERVAL).await;
         }
     };
     timeout(EVENT_TIMEOUT, reset).await.expect("the connection is closed");
-    // What got no reply was not accepted.
+    // A request without a reply was not accepted.
     let call = stub.next_call().await;
     assert_eq!(call.header("req-id"), "m");
     call.respond(200);
@@ -124,7 +125,7 @@
     client.write(&submission_text("first")).await;
     assert!(client.read_head().await.starts_with("HTTP/1.1 202"));
     stub.next_call().await.respond(200);
-    // Idle for less than the idle timeout; then a head that takes longer than what is left of it.
+    // Idle for less than the idle timeout; then a head that takes longer than the rest of that timeout.
     sleep(Duration::from_millis(1800)).await;
     let text = submission_text("second");
     let (head, rest) = text.split_at(text.len() - 40);
@@ -142,7 +143,7 @@
 }
 
 #[tokio::test]
-async fn pipelined_requests_are_replied_to_one_by_one_and_a_flood_does_not_affect_others() {
+async fn pipelined_requests_each_get_a_reply_and_a_flood_does_not_affect_other_clients() {
     let Fixture { discovery: _discovery, endpoint: mut stub, forwarder } =
         Fixture::start_with("several", |configuration| {
             configuration["settings"]["limits"]["openCap"] = json!(10_000);
@@ -190,7 +191,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_arrives_as_its_idle_connection_expires_gets_an_answer() {
+async fn a_request_that_arrives_as_its_idle_connection_expires_gets_a_reply() {
     let fixture = Fixture::start().await;
     let mut clients = Vec::new();
     for _ in 0..4 {
@@ -211,9 +212,10 @@
 }
 
 #[tokio::test]
-async fn a_request_that_arrives_as_its_connection_is_evicted_gets_an_answer() {
+async fn a_request_that_arrives_as_its_connection_is_evicted_gets_a_reply() {
     let fixture = Fixture::start().await;
-    // As many as the descriptor limit allows. The first request of each is complete but for its last byte.
+    // As many connections as the descriptor limit allows. The first request on each stops before its
+    // `Content-Length`.
     let mut clients = Vec::new();
     for n in 0..7 {
         let mut client = RawConnection::open(fixture.forwarder.address).await;
@@ -222,7 +224,7 @@
         client.write(&text[..head]).await;
         clients.push((client, text[head..].to_owned()));
     }
-    // Evicted no earlier than this.
+    // A connection is evicted only after it has been idle for 250 ms.
     sleep(Duration::from_millis(300)).await;
     fixture.forwarder.pause();
     let mut others = Vec::new();
@@ -240,7 +242,7 @@
 }
 
 #[tokio::test]
-async fn a_client_whose_request_has_begun_gets_an_answer_when_its_connection_is_evicted() {
+async fn a_client_whose_request_has_begun_gets_a_reply_when_its_connection_is_evicted() {
     let fixture = Fixture::start().await;
     let mut clients = Vec::new();
     for _ in 0..7 {
@@ -248,7 +250,7 @@
         client.write("POST /keyed HTTP/1.1\r\n").await;
         clients.push(client);
     }
-    // Evicted no earlier than this.
+    // A connection is evicted only after it has been idle for 250 ms.
     sleep(Duration::from_millis(300)).await;
     let mut others = Vec::new();
     for _ in 0..7 {
@@ -261,7 +263,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_ends_its_sending_after_a_request_gets_its_answer() {
+async fn a_client_that_half_closes_its_connection_after_a_request_gets_its_reply() {
     let fixture = Fixture::start().await;
     let readiness = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n".to_owned();
     for (n, text) in [submission_text("m"), readiness].into_iter().enumerate() {
@@ -274,7 +276,7 @@
 }
 
 #[tokio::test]
-async fn the_forms_of_a_request_that_http_allows_get_their_answers() {
+async fn every_form_of_a_request_that_http_allows_gets_its_reply() {
     let mut fixture = Fixture::start().await;
     // One byte at a time.
     let mut client = RawConnection::open(fixture.forwarder.address).await;
@@ -304,7 +306,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_stops_within_a_request_gets_an_error_or_a_close_within_three_seconds() {
+async fn a_client_that_stalls_within_a_request_gets_an_error_or_a_close_within_three_seconds() {
     let fixture = Fixture::start().await;
     let text = submission_text("m");
     let head_end = text.find("\r\n\r\n").expect("it has a head");
@@ -328,8 +330,9 @@
 async fn a_client_that_reads_no_replies_is_disconnected() {
     let fixture = Fixture::start().await;
     let mut client = RawConnection::open(fixture.forwarder.address).await;
-    // The replies fill the buffers of the sockets, so that nothing more is read. In the end the connection is reset.
-    // The length of a request divides that of the forwarder's buffer, so that it has read no request in part.
+    // Unread replies fill the socket buffers, so the forwarder stops reading and finally resets the
+    // connection. The length of a request divides that of the forwarder's buffer, so that no request is read
+    // in part.
     let requests = format!("GET /-/ready HTTP/1.1\r\nHost: {}\r\n\r\n", "a".repeat(31)).repeat(1024);
     assert_eq!(requests.len(), 64 << 10);
     let closed = async { while client.stream.write_all(requests.as_bytes()).await.is_ok() {} };
@@ -337,9 +340,9 @@
 }
 
 #[tokio::test]
-async fn a_client_whose_body_exceeds_the_free_memory_learns_that_its_connection_ends() {
+async fn a_client_whose_body_exceeds_the_free_memory_gets_503_and_connection_close() {
     let fixture = Fixture::start_with("plain", |configuration| {
-        // An eighth of this is for bodies: two of the greatest length.
+        // An eighth of this is for bodies, which is enough for two bodies of the maximum length.
         configuration["limits"]["memory_mb"] = json!(1);
     })
     .await;
@@ -356,14 +359,14 @@
         reply.starts_with("HTTP/1.1 503") && reply.to_lowercase().contains("connection: close"),
         "{reply:?}"
     );
-    // The memory is free again once the two others have left.
+    // The memory is free again once the two other clients have disconnected.
     drop(clients);
     let accepted = async { while fixture.forwarder.submit("keyed", "small", 9000).await.status() != 202 {} };
     timeout(EVENT_TIMEOUT, accepted).await.expect("it is accepted");
 }
 
 #[tokio::test]
-async fn a_client_that_sends_far_more_than_a_body_may_have_is_disconnected() {
+async fn a_client_that_sends_far_more_than_the_body_limit_is_disconnected() {
     let fixture = Fixture::start().await;
     let length = 60_000_000;
     for body in [format!("Content-Length: {length}"), "Transfer-Encoding: chunked".to_owned()] {
@@ -371,7 +374,7 @@
         let mut client = RawConnection::open(fixture.forwarder.address).await;
         client.write(&submission_text("m").replace("Content-Length: 2", &body)).await;
         let junk = vec![b'x'; length];
-        // The error, should it come, ends the sending.
+        // The write fails if the forwarder closes the connection before the whole body is written.
         let _ = timeout(EVENT_TIMEOUT, client.stream.write_all(&junk)).await.expect("it is read or closed");
         client.read_to_end().await;
         assert!(opened_at.elapsed() < Duration::from_secs(6), "{:?}", opened_at.elapsed());
@@ -379,7 +382,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_ends_its_sending_within_a_body_gets_an_error() {
+async fn a_client_that_half_closes_its_connection_within_a_body_gets_an_error() {
     let fixture = Fixture::start().await;
     let mut client = RawConnection::open(fixture.forwarder.address).await;
     let text = submission_text("m");
