--- a/tests/clock_steps.rs
+++ b/tests/clock_steps.rs
@@ -1,7 +1,8 @@
-//! Processes that continue the timeline of the state folder while the wall clock differs from it, as after a step.
+//! Processes that continue the timeline of the state folder while the wall clock differs from it, as after a
+//! step.
 //!
-//! The clock of the machine cannot be set here. Instead, the stored timeline is shifted before a process starts on an
-//! empty journal: to this process and the ones after it, the wall clock has been stepped by as much.
+//! The tests cannot set the clock of the machine. They shift the stored timeline before a process starts on
+//! an empty journal instead: for this process and its successors, the wall clock has been stepped by as much.
 
 mod support;
 
@@ -13,14 +14,14 @@
 use support::{CLOCK_STEP_MS, ClockStep, Fixture, ForwarderProcess, QUIET_PERIOD, one_call_slot};
 use tokio::time::sleep;
 
-/// The key lifetime of the test that waits for its end.
+/// The key lifetime in the test that waits until the key has expired.
 const SHORT_KEY_LIFETIME_MS: u64 = 1500;
 
-/// Messages whose bodies make the journal so long that it is compacted.
+/// The number of messages whose bodies make the journal long enough to be compacted.
 const COMPACTED_MESSAGES: usize = 20;
 const LARGE_BODY_BYTES: usize = 20_000;
 
-/// A forwarder whose timeline differs from the wall clock, as after this step.
+/// Starts a forwarder whose timeline differs from the wall clock, as after this step.
 async fn start_after(step: ClockStep, change: impl FnOnce(&mut Value)) -> Fixture {
     let mut fixture = Fixture::start_inheriting(change).await;
     fixture.forwarder.kill();
@@ -96,7 +97,7 @@
         let call = fixture.endpoint.next_call().await;
         fixture.forwarder.kill();
         call.closed().await;
-        // The endpoint forgets the key.
+        // The key expires.
         sleep(Duration::from_millis(SHORT_KEY_LIFETIME_MS)).await;
         fixture.forwarder.restart().await;
         assert_eq!(
@@ -168,8 +169,8 @@
     }
 }
 
-/// An earlier version of the program ignores the stored timeline. Its journal has the times of the wall clock, but
-/// if that was set back meanwhile, an attempt may be older than it seems.
+/// An earlier version of the program ignores the stored timeline and journals times of the wall clock. If
+/// that clock was set back meanwhile, an attempt may be older than its journaled time says.
 #[tokio::test]
 async fn the_journal_of_an_earlier_version_is_read_by_the_wall_clock() {
     for step in [ClockStep::Forward, ClockStep::Back] {
@@ -180,7 +181,7 @@
         fixture.forwarder.kill();
         call.closed().await;
         fixture.forwarder.shift_stored_timeline(step);
-        // What an earlier version does when it starts.
+        // An earlier version recreates the socket when it starts.
         let socket = fixture.forwarder.state_file("handover");
         fs::remove_file(&socket).expect("the process has created it");
         drop(UnixListener::bind(&socket).expect("a free path"));
@@ -207,7 +208,7 @@
 }
 
 #[tokio::test]
-async fn a_damaged_or_unusable_file_stops_no_process() {
+async fn a_damaged_or_unusable_clock_file_does_not_keep_a_process_from_starting() {
     let mut fixture = Fixture::start().await;
     for content in [&b"damaged"[..], b"", b"\xff\xfe"] {
         fixture.forwarder.kill();
--- a/tests/delivery.rs
+++ b/tests/delivery.rs
@@ -14,9 +14,9 @@
     assert_eq!((call.path.as_str(), call.header("req-id")), ("/hook", "m"));
     assert_eq!(call.header("idempotency-key"), "key-m");
     assert_eq!(&call.body[..], b"\0body of m");
-    let wait: u64 = call.header("req-deadline-ms").parse().expect("whole milliseconds");
-    assert!((1..=9000).contains(&wait), "{wait}");
-    // Submitted again while it is open, it has been accepted already.
+    let remaining: u64 = call.header("req-deadline-ms").parse().expect("whole milliseconds");
+    assert!((1..=9000).contains(&remaining), "{remaining}");
+    // A message that is submitted again while it is open has been accepted already.
     assert_eq!(fixture.forwarder.submit("keyed", "m", 9000).await.status(), 202);
     call.respond(200);
     fixture.forwarder.until_delivered("keyed", "m").await;
@@ -79,12 +79,12 @@
     let mut fixture = Fixture::start().await;
     let refusing = EndpointStub::start().await.stop().await;
     fixture.discovery.push_changes(2, vec![plain_endpoint("t", refusing, 7)]);
-    // Until the list has arrived, messages are sent to the old address.
+    // Until the forwarder has received the list, it sends messages to the old address.
     for n in 0.. {
         fixture.forwarder.submit("unsafe", &format!("m{n}"), 300).await;
         tokio::select! {
             call = fixture.endpoint.next_call() => call.respond(200),
-            // Rejected, not failed: every attempt is known never to have been executed.
+            // The message is rejected and not failed: no attempt can have been executed.
             notice = fixture.discovery.notice() => {
                 assert_eq!(notice["message"], json!(format!("m{n}")));
                 assert_eq!(notice["outcome"], json!("handed_back"));
@@ -107,7 +107,7 @@
 
 #[tokio::test]
 async fn a_retry_after_wait_delays_every_message_of_the_destination() {
-    // With one slot the other message cannot be sent before the wait has arrived.
+    // With one call slot, the other message cannot be sent before the forwarder has received the wait.
     let mut fixture = Fixture::start_with("plain", one_call_slot).await;
     fixture.forwarder.submit("unsafe", "a", 9000).await;
     let call = fixture.endpoint.next_call().await;
