--- a/tests/discovery.rs
+++ b/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: watched, changed and invalid, and discovery at another address.
+//! The endpoint list: watches, changes, invalid lists, and a change of the address of discovery.
 
 mod support;
 
@@ -23,14 +23,14 @@
             plain_endpoint("u", next.address, 7),
         ],
     );
-    // The list arrives soon, but not at once: messages show when it has arrived.
+    // The list is applied soon, but not at once: the endpoint that a message is sent to shows when.
     for n in 0.. {
         fixture.forwarder.submit("keyed", &format!("before-{n}"), 9000).await;
-        let list_has_arrived = tokio::select! {
+        let list_is_applied = tokio::select! {
             call = next.next_call() => { call.respond(200); true }
             call = fixture.endpoint.next_call() => { call.respond(200); false }
         };
-        if list_has_arrived {
+        if list_is_applied {
             break;
         }
     }
@@ -49,13 +49,13 @@
     let mut fixture = Fixture::start().await;
     fixture.forwarder.submit("keyed", "before", 9000).await;
     let call_in_flight = fixture.endpoint.next_call().await;
-    // A file that is no configuration: the earlier one stays in force.
+    // After an invalid file, the earlier configuration stays in effect.
     fixture.forwarder.reload(|configuration| {
         *configuration = json!({"name": configuration["name"], "kept": *configuration});
     });
     let mut second = EndpointStub::start().await;
     fixture.discovery.push_changes(2, vec![plain_endpoint("u", second.address, 8)]);
-    // A notice that the old address does not acknowledge is sent to the new one, which is also watched.
+    // A notice that the old address does not acknowledge is sent to the new address, which is also watched.
     fixture.forwarder.submit("unsafe", "failed", 9000).await;
     fixture.endpoint.next_call().await.respond(500);
     let unacknowledged = fixture.discovery.next_notice_call().await;
@@ -81,7 +81,7 @@
             list_sent = true;
         }
     }
-    // The next watch shows that the list has arrived: new messages follow it.
+    // The next watch shows that the list is applied: new messages are sent according to it.
     assert_eq!(new.next_call().await.path, "/api/targets?index=9&wait=2000");
     fixture.forwarder.submit("keyed", "after", 9000).await;
     let call = second.next_call().await;
@@ -124,7 +124,7 @@
 async fn the_complete_list_is_requested_after_an_invalid_list_but_not_after_an_error_status() {
     let mut service = EndpointStub::start().await;
     let _forwarder = ForwarderProcess::start(service.address, &[], |_| {}).await;
-    // The list of the configuration has to be confirmed, whatever a rejection means.
+    // The list of the configuration still has to be confirmed after a rejection.
     for _ in 0..3 {
         let call = service.next_call().await;
         assert_eq!(call.path, "/api/targets?index=1&wait=0");
@@ -136,7 +136,7 @@
 }
 
 #[tokio::test]
-async fn many_senders_watch_their_shared_service_for_long_and_call_it_rarely_after_rejections() {
+async fn a_sender_of_a_large_fleet_uses_long_watches_and_calls_rarely_after_rejections() {
     let (mut service, mut stub) = (EndpointStub::start().await, EndpointStub::start().await);
     let known = [plain_endpoint("t", stub.address, 7)];
     let forwarder = ForwarderProcess::start(service.address, &known, |configuration| {
@@ -155,7 +155,7 @@
     assert_eq!(watch.path, "/api/targets?index=1&wait=10000");
     assert_eq!(forwarder.submit("keyed", "m", 9000).await.status(), 202);
     stub.next_call().await.respond(200);
-    // After a rejection the next call comes later, and waits for long only once the service has taken it up.
+    // After a rejection the next call is sent later. A watch is long again only once a short one was served.
     let rejected_at = Instant::now();
     watch.respond(503);
     assert!(service.is_quiet(Duration::from_millis(1500)).await);
@@ -163,7 +163,7 @@
     assert_eq!(short.path, "/api/targets?index=1&wait=300");
     assert!(rejected_at.elapsed() < Duration::from_secs(8), "{:?}", rejected_at.elapsed());
     short.respond_with(200, &[], &unchanged);
-    // It stays open: a connection that breaks may have carried changes.
+    // The test keeps this watch open: if its connection broke, changes might have been lost with it.
     let long = service.next_call().await;
     assert!(long.path.starts_with("/api/targets?index=1&wait=1"));
     // A new address is called at once.
@@ -208,7 +208,7 @@
     other.next_call().await.respond(200);
     let list = endpoint_list(2, true, vec![known[1].clone(), json!({"uid": "w"})]);
     complete.respond_with(200, &[], &list.to_string());
-    // Only once: a complete list with an invalid record is watched from.
+    // Only once: although a record of the complete list is invalid, its revision is watched for changes.
     assert!(service.next_call().await.path.starts_with("/api/targets?index=2"));
 }
 
