--- a/tests/endpoint_connections.rs
+++ b/tests/endpoint_connections.rs
@@ -38,7 +38,7 @@
 }
 
 #[tokio::test]
-async fn a_call_whose_connection_is_established_during_a_wait_is_not_written() {
+async fn a_call_whose_connection_is_established_during_a_retry_after_wait_is_not_written() {
     let (discovery, mut stub, full) =
         (DiscoveryStub::start().await, EndpointStub::start().await, FullListener::start().await);
     let known = [plain_endpoint("t", stub.address, 7), plain_endpoint("u", full.address, 7)];
@@ -48,7 +48,7 @@
     .await;
     forwarder.submit("keyed", "a", 20_000).await;
     forwarder.submit("keyed", "b", 20_000).await;
-    // One was sent to each: idle endpoints are preferred.
+    // Each endpoint is sent one message: idle endpoints are preferred.
     let call = stub.next_call().await;
     let responded_at = Instant::now();
     let id = call.header("req-id").to_owned();
@@ -56,7 +56,7 @@
     // The wait is known once the message is known as delivered.
     forwarder.until_delivered("keyed", &id).await;
     full.accept_queued().await;
-    // The connection is established when the system retries; a write shows whether the wait was kept.
+    // The connection is established when the system retries; a write shows whether the wait was respected.
     let written = full.wait_for_write();
     tokio::select! {
         () = written => {}
@@ -71,7 +71,7 @@
         (DiscoveryStub::start().await, EndpointStub::start().await, FullListener::start().await);
     let known = [plain_endpoint("t", stub.address, 7), plain_endpoint("u", full.address, 7)];
     let forwarder = ForwarderProcess::start(discovery.address, &known, |configuration| {
-        // The retry does not time out meanwhile.
+        // The retry must not time out before its key expires.
         latency_objective(configuration, 20_000.0);
         configuration["settings"]["classes"][0]["keyTtl"] = json!(2000);
         configuration["settings"]["limits"]["connectTimeout"] = json!(30_000);
@@ -80,7 +80,7 @@
     assert!(forwarder.admin_command("disable-server u").await.starts_with("ACK"));
     forwarder.submit("keyed", "m", 28_000).await;
     let call = stub.next_call().await;
-    // Only the other endpoint is left for the retry, and no connection to it is established.
+    // Only endpoint `u` is left for the retry, and no connection to it is established.
     assert!(forwarder.admin_command("disable-server t").await.starts_with("ACK"));
     assert!(forwarder.admin_command("enable-server u").await.starts_with("ACK"));
     call.disconnect();
@@ -93,13 +93,13 @@
 }
 
 #[tokio::test]
-async fn a_new_endpoint_at_a_known_address_inherits_no_connection() {
+async fn a_new_endpoint_at_a_known_address_reuses_no_connection_of_the_removed_one() {
     let mut fixture = Fixture::start().await;
     fixture.deliver("keyed", "before").await;
     assert_eq!(fixture.endpoint.connections(), 1);
     // A complete list without the old id means that it is removed.
     fixture.discovery.push_complete_list(2, vec![plain_endpoint("u", fixture.endpoint.address, 7)]);
-    let moved = async {
+    let reconnected = async {
         for n in 0.. {
             fixture.deliver("keyed", &format!("m{n}")).await;
             if fixture.endpoint.connections() == 2 {
@@ -107,7 +107,7 @@
             }
         }
     };
-    timeout(EVENT_TIMEOUT, moved).await.expect("it gets a connection of its own");
+    timeout(EVENT_TIMEOUT, reconnected).await.expect("it gets a connection of its own");
 }
 
 #[tokio::test]
@@ -115,7 +115,7 @@
     let Fixture { discovery: _discovery, endpoint: raw, forwarder } =
         Fixture::start_raw("plain", |_| {}).await;
     let mut idle: Option<RawConnection> = None;
-    // Each connection is dead at its second call. Two dead ones at an age are enough to avoid that age.
+    // Each connection is dead at its second call. Two dead connections of an age are enough to avoid it.
     for n in 0..40 {
         let id = format!("m{n}");
         forwarder.submit("keyed", &id, 20_000).await;
@@ -147,7 +147,7 @@
     })
     .await;
     assert_eq!(forwarder.submit("unsafe", "m", 28_000).await.status(), 202);
-    // Time for many more than two connections.
+    // Long enough for many more than two connection attempts.
     assert!(discovery.is_quiet(Duration::from_secs(3)).await);
     discovery.push_changes(2, vec![plain_endpoint("u", stub.address, 7)]);
     let call = stub.next_call().await;
@@ -173,7 +173,7 @@
     .await;
     forwarder.submit_to(7, "unsafe", "a", 28_000).await;
     forwarder.submit_to(8, "unsafe", "b", 28_000).await;
-    // Both slots are taken: one of the two calls is cancelled, and its message does not fail.
+    // Both call slots are in use: one of the two calls is cancelled, and its message does not fail.
     forwarder.submit_to(9, "unsafe", "c", 28_000).await;
     let call = stub.next_call().await;
     assert_eq!(call.header("req-id"), "c");
@@ -183,7 +183,7 @@
 
 /// The number of connections to this address that are not established yet.
 fn connecting_count(address: SocketAddr) -> usize {
-    // As the system lists them: the remote address in hexadecimal, then 02 for the state SYN_SENT.
+    // The format of the system: the remote address in hexadecimal, then 02 for the state SYN_SENT.
     let pattern = format!(" 0100007F:{:04X} 02 ", address.port());
     fs::read_to_string("/proc/net/tcp").expect("the list of the system").matches(&pattern).count()
 }
--- a/tests/endpoint_responses.rs
+++ b/tests/endpoint_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of endpoints that are invalid, partial or followed by other bytes.
+//! Endpoint responses that are invalid, partial or followed by other bytes.
 
 mod support;
 
@@ -23,7 +23,7 @@
         call.write(response).await;
         forwarder.until_delivered("unsafe", id).await;
         if id != "interim" {
-            // The forwarder closes the connection: the endpoint leaves it open.
+            // The endpoint leaves the connection open, so it is the forwarder that closes it.
             call.read_to_end().await;
         }
     }
@@ -92,9 +92,9 @@
     forwarder.until_delivered("keyed", "first").await;
     forwarder.submit("keyed", "second", 20_000).await;
     assert!(call.read_request().await.contains("second"));
-    // It may be a late duplicate of the first response.
+    // This response may be a late duplicate of the first one.
     call.write("HTTP/1.1 200 OK\r\n\0\r\n\r\n").await;
-    // Not delivered, so it is retried.
+    // The message is not delivered, so it is retried.
     assert!(raw.accept().await.read_request().await.contains("second"));
 }
 
@@ -122,7 +122,7 @@
         sleep(POLL_INTERVAL).await;
     }
     assert!(responded_at.elapsed() < Duration::from_secs(3), "{:?}", responded_at.elapsed());
-    // It may have been executed, and may be retried.
+    // The message may have been executed, but has a key, so it may be retried.
     let mut call = raw.accept().await;
     assert!(call.read_request().await.contains("req-id: b"));
     call.write(OK_RESPONSE).await;
