--- a/tests/notices.rs
+++ b/tests/notices.rs
@@ -16,14 +16,16 @@
     // The client submits it again before the notice is acknowledged.
     let accepted_again = async {
         for n in 0.. {
-            // Earlier ends are forgotten as others are stored.
+            // Earlier outcomes are forgotten as others are stored.
             fixture.forwarder.submit("keyed", &format!("x{n}"), 300).await;
             if fixture.forwarder.submit("keyed", "m", 40_000).await.status() == 202 {
                 return;
             }
         }
     };
-    timeout(EVENT_TIMEOUT, accepted_again).await.expect("it is accepted once its earlier end is forgotten");
+    timeout(EVENT_TIMEOUT, accepted_again)
+        .await
+        .expect("it is accepted once its earlier outcome is forgotten");
     notice.respond(200);
     // Once a later notice is acknowledged, the journal holds the acknowledgement of the first one.
     fixture.forwarder.submit("keyed", "last", 300).await;
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators do: commands, bans and drains.
+//! Commands of operators, among them bans and drains.
 
 mod support;
 
@@ -28,7 +28,7 @@
         TwoEndpoints { discovery, one, other, forwarder }
     }
 
-    /// Submits four messages, one after another, whose calls must all be sent to `other`.
+    /// Submits four messages one after another, and expects each call at `other`.
     async fn deliver_to_other(&mut self, id_prefix: &str) {
         for n in 0..4 {
             let id = format!("{id_prefix}-{n}");
@@ -61,10 +61,10 @@
         ("enable-server one", "ACK one put back\n"),
         (&"x".repeat(5000), "NAK line too long\n"),
     ] {
-        let line_read = timeout(Duration::from_secs(1), fixture.forwarder.admin_command(line)).await;
-        assert_eq!(line_read.expect("in time"), reply, "{line:.40}");
+        let reply_read = timeout(Duration::from_secs(1), fixture.forwarder.admin_command(line)).await;
+        assert_eq!(reply_read.expect("in time"), reply, "{line:.40}");
     }
-    // The oldest connection was closed for a later one.
+    // The oldest connection was closed to make room for a later one.
     slow_operators[0].read_to_end().await;
 }
 
@@ -84,7 +84,7 @@
     fixture.discovery.push_complete_list(3, records(&fixture));
     fixture.deliver_to_other("after").await;
     assert!(fixture.one.is_quiet(QUIET_PERIOD).await);
-    // One command ends it, although two commands began it: with the other endpoint banned, this one gets the call.
+    // One command ends the ban that two commands began: with `other` banned, the call is sent to `one`.
     assert_eq!(fixture.forwarder.admin_command("enable-server one").await, "ACK one put back\n");
     assert_eq!(fixture.forwarder.admin_command("disable-server other").await, "ACK other left out\n");
     assert_eq!(fixture.forwarder.submit("keyed", "c", 9000).await.status(), 202);
@@ -110,16 +110,16 @@
         }
     };
     timeout(EVENT_TIMEOUT, not_ready).await.expect("the readiness check fails");
-    // A client that still connects is served, by the last reply on its connection.
+    // A client that still connects is served, and its connection is closed after the reply.
     let late = fixture.forwarder.submit("keyed", "late", 9000).await;
     assert_eq!((late.status().as_u16(), late.headers()["connection"].as_bytes()), (202, &b"close"[..]));
-    // The idle connection is closed; the partial request is waited for and gets its reply.
+    // The idle connection is closed. The forwarder waits for the rest of the partial request and replies.
     assert!(idle.read_to_end().await.text.starts_with("HTTP/1.1 200"));
     partial.write(&head[30..]).await;
     partial.write(body).await;
     let reply = partial.read_to_end().await.text;
     assert!(reply.contains("HTTP/1.1 202") && reply.contains("connection: close"), "{reply}");
-    // What was accepted is delivered.
+    // The accepted messages are delivered.
     for _ in 0..2 {
         let call = tokio::select! {
             call = fixture.one.next_call() => call,
