--- a/tests/restarts.rs
+++ b/tests/restarts.rs
@@ -13,7 +13,7 @@
 };
 use tokio::time::sleep;
 
-/// Messages that are queued behind a call in flight when the process ends.
+/// The number of messages that are queued behind a call in flight when the process ends.
 const QUEUED_MESSAGES: usize = 30;
 
 #[tokio::test]
@@ -59,10 +59,10 @@
                     call.respond(200);
                 }
                 notices = fixture.discovery.notices() => {
-                    let names = notices.iter().filter_map(|notice| notice["message"].as_str());
-                    // One whose call was in flight at the kill may have been executed, and still gets a
-                    // notice.
-                    failed.extend(names.filter(|name| !delivered.contains(*name)).map(str::to_owned));
+                    let ids = notices.iter().filter_map(|notice| notice["message"].as_str());
+                    // A message whose call was in flight at the kill may have been executed, and still gets
+                    // a notice.
+                    failed.extend(ids.filter(|failed_id| !delivered.contains(*failed_id)).map(str::to_owned));
                 }
             }
         }
@@ -97,8 +97,8 @@
     fixture.forwarder.restart().await;
     fixture.endpoint.next_call().await.respond(200);
     fixture.forwarder.until_delivered("keyed", "m").await;
-    let text = fs::read(fixture.forwarder.journal_file()).expect("a journal");
-    assert!(text.len() as u64 > complete_length && !text.windows(4).any(|part| part == b"torn"));
+    let journal = fs::read(fixture.forwarder.journal_file()).expect("a journal");
+    assert!(journal.len() as u64 > complete_length && !journal.windows(4).any(|part| part == b"torn"));
 }
 
 #[tokio::test]
@@ -110,11 +110,11 @@
     assert_eq!(forwarder.submit("keyed", "queued", 28_000).await.status(), 202);
     forwarder.kill();
     call_in_flight.closed().await;
-    // The record of the attempt cannot be read any more, and its message must not pass for unattempted.
-    let mut text = fs::read(forwarder.journal_file()).expect("a journal");
-    let position = text.windows(6).position(|part| part == b"\"Sent\"").expect("it was stored");
-    text[position] ^= 1;
-    fs::write(forwarder.journal_file(), text).expect("it is writable");
+    // The record of the attempt becomes unreadable, and its message must not be treated as never attempted.
+    let mut journal = fs::read(forwarder.journal_file()).expect("a journal");
+    let position = journal.windows(6).position(|part| part == b"\"Sent\"").expect("it was stored");
+    journal[position] ^= 1;
+    fs::write(forwarder.journal_file(), journal).expect("it is writable");
     forwarder.restart().await;
     assert_eq!(discovery.notice().await, json!({"message": "sent", "outcome": "given_up"}));
     // A message accepted after the damaged record is delivered.
@@ -165,7 +165,7 @@
         end_with_queued_messages(&mut forwarder, &mut stub, 28_000, end).await;
         forwarder.configure(|configuration| configuration["known"]["targets"] = json!([]));
         forwarder.restart().await;
-        // Only the one that may have been executed ends now.
+        // Only the message that may have been executed fails now.
         assert_eq!(discovery.notice().await, json!({"message": "first", "outcome": "given_up"}));
         assert!(discovery.is_quiet(QUIET_PERIOD).await);
         discovery.push_complete_list(2, vec![plain_endpoint("t", stub.address, 7)]);
@@ -195,11 +195,11 @@
     while notices.len() < QUEUED_MESSAGES + 1 {
         notices.extend(discovery.notices().await);
     }
-    // One notice for each; a message that was never executed may be submitted again.
+    // One notice for each message; one that was never executed may be submitted again.
     let rejected = notices.iter().filter(|notice| notice["outcome"] == "handed_back");
-    let names: BTreeSet<String> = rejected.map(|notice| notice["message"].to_string()).collect();
-    assert_eq!((names.len(), notices.len()), (QUEUED_MESSAGES, QUEUED_MESSAGES + 1));
-    // Shortly before or at their deadline.
+    let rejected_ids: BTreeSet<String> = rejected.map(|notice| notice["message"].to_string()).collect();
+    assert_eq!((rejected_ids.len(), notices.len()), (QUEUED_MESSAGES, QUEUED_MESSAGES + 1));
+    // The notices arrive shortly before or at the deadline.
     assert!((2500..3600).contains(&submitted_at.elapsed().as_millis()), "{:?}", submitted_at.elapsed());
     assert!(discovery.is_quiet(QUIET_PERIOD).await);
 }
@@ -230,7 +230,7 @@
         (DiscoveryStub::start().await, EndpointStub::start().await, FullListener::start().await);
     let known = [plain_endpoint("t", full.address, 7)];
     let mut forwarder = ForwarderProcess::start(discovery.address, &known, |_| {}).await;
-    // Its call is decided in the turn that accepts it.
+    // The turn that accepts the message also starts its call.
     assert_eq!(forwarder.submit("unsafe", "m", 28_000).await.status(), 202);
     forwarder.kill();
     forwarder.configure(|configuration| {
@@ -279,7 +279,7 @@
     while ended.len() < accepted.len() {
         for notice in discovery.notices().await {
             let id = notice["message"].as_str().expect("a name").to_owned();
-            // The attempt of the first one was in flight when the process was killed.
+            // The attempt of the first message was in flight when the process was killed.
             assert!(
                 id == "m0" || submitted_at.elapsed() > Duration::from_secs(5),
                 "{id} {:?}",
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -17,7 +17,7 @@
     let call_in_flight = fixture.endpoint.next_call().await;
     let terminated_at = Instant::now();
     fixture.forwarder.terminate();
-    // New clients are still served, each by the last reply on its connection.
+    // New clients are still served, and their connections are closed after the reply.
     let draining = async {
         loop {
             let ready = fixture.forwarder.readiness_response().await.expect("it serves");
@@ -55,7 +55,7 @@
     }
     forwarder.pause();
     forwarder.terminate();
-    // It arrives together with the signal, on an idle connection.
+    // This request arrives together with the signal, on an idle connection.
     clients[0].write(&submission_text("with")).await;
     forwarder.resume();
     let reply = clients[0].read_to_end().await;
@@ -75,7 +75,7 @@
 }
 
 #[tokio::test]
-async fn a_request_that_becomes_complete_as_the_process_ends_gets_an_answer() {
+async fn a_request_that_becomes_complete_as_the_process_ends_gets_a_reply() {
     let Fixture { discovery: _discovery, endpoint: mut stub, mut forwarder } = Fixture::start().await;
     // The call keeps the process from ending early.
     forwarder.submit("unsafe", "in-flight", 20_000).await;
@@ -90,7 +90,7 @@
     sleep_until((terminated_at + Duration::from_millis(3350)).into()).await;
     forwarder.pause();
     client.write(last_byte).await;
-    // When the process continues, it is time to end, and the request has arrived.
+    // When the process continues, the time of its shutdown is over and the request has arrived.
     sleep_until((terminated_at + Duration::from_millis(3600)).into()).await;
     forwarder.resume();
     let reply = client.read_to_end().await;
@@ -119,19 +119,19 @@
 }
 
 #[tokio::test]
-async fn a_log_that_cannot_be_written_ends_nothing() {
+async fn a_log_that_cannot_be_written_does_not_end_the_process() {
     let mut fixture = Fixture::start().await;
     fixture.forwarder.terminate();
     assert!(fixture.forwarder.exit_status().await.success());
     fixture.forwarder.restart_with_broken_log().await;
-    // Operators' commands are logged, and so are lists of discovery that cannot be read.
+    // The forwarder logs operators' commands and invalid lists of discovery.
     fixture.discovery.push_changes(2, vec![json!("no record")]);
     assert!(fixture.forwarder.admin_command("drain").await.starts_with("ACK"));
     assert!(fixture.forwarder.admin_command("resume").await.starts_with("ACK"));
     let mut other = EndpointStub::start().await;
     fixture.discovery.push_changes(3, vec![plain_endpoint("u", other.address, 8)]);
     fixture.deliver("keyed", "m").await;
-    // The second list has arrived nevertheless.
+    // The second list is applied nevertheless.
     assert_eq!(fixture.forwarder.submit_to(8, "keyed", "n", 9000).await.status(), 202);
     other.next_call().await.respond(200);
 }
