--- a/tests/state_folder.rs
+++ b/tests/state_folder.rs
@@ -1,4 +1,4 @@
-//! Faults of the state folder: it cannot be opened at the start, or written for a while.
+//! Faults of the state folder: it cannot be opened at the start, or cannot be written for a while.
 
 mod support;
 
@@ -12,13 +12,14 @@
 use tokio::io::AsyncReadExt;
 use tokio::time::{sleep, timeout};
 
-/// How long the folder fails in tests of what must not happen meanwhile.
-const OUTAGE: Duration = Duration::from_millis(400);
-/// A notice must arrive at most this long after the time of its message is up.
+/// How long the folder is faulty in tests of what must not happen meanwhile.
+const FAULT_PERIOD: Duration = Duration::from_millis(400);
+/// A notice must arrive at most this long after the deadline of its message.
 const MAX_NOTICE_DELAY: Duration = Duration::from_millis(300);
-/// SIGKILL follows SIGTERM after this time.
+/// The time from SIGTERM to SIGKILL.
 const TIME_UNTIL_KILL: Duration = Duration::from_millis(3700);
-const ENDS_WITHIN: Duration = Duration::from_secs(10);
+/// How long a test waits until the forwarder has reacted to a fault or to its end.
+const REACTION_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Submits a message under new ids until it is accepted, and returns its id.
 async fn submit_until_accepted(fixture: &Fixture) -> String {
@@ -33,7 +34,7 @@
         }
         unreachable!("the numbers do not end")
     };
-    timeout(ENDS_WITHIN, accepted).await.expect("messages are accepted again")
+    timeout(REACTION_TIMEOUT, accepted).await.expect("messages are accepted again")
 }
 
 #[tokio::test]
@@ -43,7 +44,7 @@
     fixture.forwarder.fail_journal_writes();
     let failed_at = Instant::now();
     let mut rejected = 0;
-    while failed_at.elapsed() < OUTAGE {
+    while failed_at.elapsed() < FAULT_PERIOD {
         let reply = fixture.forwarder.submit("unsafe", &format!("during-{rejected}"), 20_000).await;
         assert_eq!(reply.status(), 503);
         rejected += 1;
@@ -68,7 +69,7 @@
     fixture.forwarder.fail_journal_writes();
     first.respond(200);
     fixture.forwarder.until_delivered("unsafe", "first").await;
-    assert!(fixture.endpoint.is_quiet(OUTAGE).await);
+    assert!(fixture.endpoint.is_quiet(FAULT_PERIOD).await);
     fixture.forwarder.limit_files(None);
     let second = fixture.endpoint.next_call().await;
     assert_eq!(second.header("req-id"), "second");
@@ -81,7 +82,7 @@
 }
 
 #[tokio::test]
-async fn a_call_whose_connection_comes_up_while_nothing_can_be_written_is_withheld() {
+async fn a_call_whose_connection_is_established_while_nothing_can_be_written_is_withheld() {
     let (discovery, full) = (DiscoveryStub::start().await, FullListener::start().await);
     let known = [plain_endpoint("t", full.address, 7)];
     let forwarder = ForwarderProcess::start_with_file_limit(discovery.address, &known, |configuration| {
@@ -92,15 +93,15 @@
     forwarder.fail_journal_writes();
     full.accept_queued().await;
     let (mut connection, _) = full.listener.accept().await.expect("it listens");
-    let written = timeout(ENDS_WITHIN, connection.read(&mut [0; 1])).await.expect("it is closed");
+    let written = timeout(REACTION_TIMEOUT, connection.read(&mut [0; 1])).await.expect("it is closed");
     assert_eq!(written.expect("closed without a reset"), 0);
     forwarder.limit_files(None);
-    timeout(ENDS_WITHIN, full.wait_for_write()).await.expect("it is sent later");
+    timeout(REACTION_TIMEOUT, full.wait_for_write()).await.expect("it is sent later");
 }
 
 #[tokio::test]
 async fn a_notice_is_sent_in_time_although_it_cannot_be_recorded() {
-    let time = Duration::from_millis(900);
+    let time_to_deadline = Duration::from_millis(900);
     let mut fixture = Fixture::start_with_file_limit(|_| {}).await;
     let submitted_at = Instant::now();
     assert_eq!(fixture.forwarder.submit("unsafe", "m", 900).await.status(), 202);
@@ -108,8 +109,8 @@
     fixture.forwarder.fail_journal_writes();
     assert_eq!(fixture.discovery.notice().await, json!({"message": "m", "outcome": "given_up"}));
     let elapsed = submitted_at.elapsed();
-    assert!(elapsed >= time, "until then another process could deliver it: {elapsed:?}");
-    assert!(elapsed < time + MAX_NOTICE_DELAY, "{elapsed:?}");
+    assert!(elapsed >= time_to_deadline, "until then another process could deliver it: {elapsed:?}");
+    assert!(elapsed < time_to_deadline + MAX_NOTICE_DELAY, "{elapsed:?}");
     fixture.forwarder.limit_files(None);
     submit_until_accepted(&fixture).await;
 }
@@ -126,13 +127,14 @@
     fixture.forwarder.terminate();
     assert!(fixture.forwarder.exit_status().await.success());
     assert!(terminated_at.elapsed() < TIME_UNTIL_KILL, "{:?}", terminated_at.elapsed());
-    // Its delivery could not be recorded. It must not be sent again; a notice does no harm.
+    // The delivery could not be recorded. The message must not be sent again; a notice does no harm.
     fixture.forwarder.restart().await;
     assert_eq!(fixture.discovery.notice().await, json!({"message": "m", "outcome": "given_up"}));
     assert!(fixture.endpoint.is_quiet(QUIET_PERIOD).await);
 }
 
-/// Starts a forwarder whose folder has a directory in the place of this file, and that has accepted a message.
+/// Starts a forwarder that has accepted two messages, with a directory in place of this file of its state
+/// folder.
 async fn start_with_unusable(file: &str) -> Fixture {
     let mut fixture = Fixture::start_with("plain", one_call_slot).await;
     assert_eq!(fixture.forwarder.submit("unsafe", "first", 20_000).await.status(), 202);
@@ -151,8 +153,8 @@
 async fn a_process_waits_for_a_folder_that_cannot_be_opened() {
     for file in ["journal", "lock"] {
         let mut fixture = start_with_unusable(file).await;
-        // Longer than the pause between two attempts.
-        assert!(fixture.endpoint.is_quiet(OUTAGE).await);
+        // Longer than the pause between two attempts to open the folder.
+        assert!(fixture.endpoint.is_quiet(FAULT_PERIOD).await);
         assert!(fixture.forwarder.admin_command("ready").await.starts_with("NAK"));
         let path = fixture.forwarder.state_file(file);
         fs::remove_dir(&path).expect("it is empty");
@@ -172,8 +174,8 @@
     assert!(fixture.forwarder.exit_status().await.success());
 }
 
-/// How many messages are submitted while a successor cannot open the journal, and the pause between them. It retries
-/// several times meanwhile.
+/// The number of messages that are submitted while a successor cannot open the journal. With the pause
+/// between them, the successor retries several times meanwhile.
 const SUBMISSIONS_DURING_UPGRADE: usize = 20;
 const SUBMISSION_PAUSE: Duration = Duration::from_millis(50);
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A successor takes over from a running process.
+//! Upgrades: a successor takes over from a running process.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::{sleep, timeout};
 
-/// Longer than a retry of the successor and the repetition of its connection attempt take.
+/// Longer than the successor needs for a retry and a second connection attempt.
 const RETRY_PERIOD: Duration = Duration::from_secs(2);
 
 #[tokio::test]
@@ -79,7 +79,7 @@
     let call = fixture.endpoint.next_call().await;
     let responded_at = Instant::now();
     call.respond_with(200, &[("Wait-Ms", "1500")], "");
-    // The predecessor knows of the wait once it knows that the message is delivered.
+    // The predecessor knows the wait once it knows that the message is delivered.
     fixture.forwarder.until_delivered("unsafe", "m").await;
     fixture.forwarder.submit("keyed", "n", 20_000).await;
     assert_eq!(fixture.forwarder.admin_command("drain").await, "ACK draining\n");
@@ -110,7 +110,7 @@
     let mut clients = Vec::new();
     for _ in 0..count {
         let mut stream = TcpStream::connect(fixture.forwarder.address).await.expect("it listens");
-        // One beyond the connection limit is closed.
+        // The write fails if the connection exceeds the limit and is closed.
         let _ = stream.write_all(b"POST /keyed HTTP/1.1\r\nHost: a\r\n").await;
         clients.push(stream);
     }
@@ -137,12 +137,12 @@
     };
     timeout(EVENT_TIMEOUT, served).await.expect("another client is served");
     descriptors = descriptors.max(predecessor.descriptors() + fixture.forwarder.descriptors());
-    // Not so few that the limit was never approached.
+    // The lower bound makes sure that the limit was approached.
     assert!((60..descriptor_limit).contains(&descriptors), "{descriptors}");
 }
 
-/// Asks to take over as a successor would, and returns the state that the journal does not hold, but never
-/// confirms the ownership.
+/// Requests the take-over as a successor would and returns the state that the journal does not hold. The
+/// ownership is never confirmed.
 async fn request_take_over(fixture: &Fixture) -> (BufReader<UnixStream>, String) {
     let mut successor = BufReader::new(
         UnixStream::connect(fixture.forwarder.state_file("handover")).await.expect("it listens"),
@@ -158,7 +158,7 @@
     let mut fixture = Fixture::start_inheriting(|_| {}).await;
     fixture.forwarder.submit("keyed", "in-flight", 20_000).await;
     let call_in_flight = fixture.endpoint.next_call().await;
-    // One that ends, one that falls silent, and then a real one.
+    // One successor disconnects, one sends nothing more, and then a real one takes over.
     let (successor, state) = request_take_over(&fixture).await;
     assert!(state.contains("\"in-flight\""), "{state}");
     drop(successor);
@@ -185,7 +185,7 @@
             UnixStream::connect(fixture.forwarder.state_file("handover")).await.expect("it listens");
         successor.write_all(noise.as_bytes()).await.expect("it is open");
     }
-    // One that sends an invalid frame after it has received the state.
+    // This successor sends an invalid frame after it has received the state.
     let (mut successor, _) = request_take_over(&fixture).await;
     successor.write_all(b"{\"Owned\n").await.expect("it is open");
     fixture.forwarder.submit("keyed", "m", 20_000).await;
