--- a/tests/drain_ambiguous_failures.rs
+++ b/tests/drain_ambiguous_failures.rs
@@ -90,7 +90,7 @@
 async fn a_crowd_rejects_calls_in_the_way_of_the_outage_before_it() {
     let scenario = start_watching().await;
     scenario.outage(DiscoveryBehavior::Reject503, OUTAGE).await;
-    scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: Duration::ZERO });
+    scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: Duration::ZERO });
     scenario.drain();
     sleep(LONGEST_DELAY).await;
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
--- a/tests/drain_crowded_discovery.rs
+++ b/tests/drain_crowded_discovery.rs
@@ -47,7 +47,7 @@
         if self.watch_breaks {
             scenario.outage(DiscoveryBehavior::Reset, BREAK).await;
         }
-        scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: self.patience });
+        scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: self.patience });
         sleep(BEFORE_DRAIN).await;
         scenario.drain();
         sleep(LONGEST_DELAY).await;
@@ -83,7 +83,7 @@
         scenario.discovery.until_followed().await;
         scenario.discovery.set_latency(LATENCY_MS);
         sleep(WATCH_TAKEN_UP).await;
-        scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: self.patience });
+        scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: self.patience });
         scenario.discovery.change(scenario.staying_record());
         sleep(BETWEEN_WATCHES).await;
         scenario.drain();
@@ -110,7 +110,7 @@
         scenario.discovery.until_followed().await;
         scenario.discovery.set_latency(LATENCY_MS);
         sleep(WATCH_TAKEN_UP).await;
-        scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: self.patience });
+        scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: self.patience });
         let watch = scenario.discovery.history().calls.len() - 1;
         scenario.discovery.until(|history| history.calls[watch].end.is_some()).await;
         scenario.drain();
@@ -145,7 +145,7 @@
 
 impl FirstProcess {
     async fn play(self) -> DrainScenario {
-        let crowded = DiscoveryBehavior::CrowdedByOthers { patience: self.patience };
+        let crowded = DiscoveryBehavior::OverloadedByOthers { patience: self.patience };
         let started_at = Instant::now();
         let scenario = DrainScenario::start_at(crowded, DiscoveryMode::Ask, self.sender_count).await;
         assert!(started_at.elapsed() < USABLE_LIST, "{self:?}: served after {:?}", started_at.elapsed());
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -138,7 +138,7 @@
     }
 
     async fn serve_call(&mut self, call: &OpenCall) -> io::Result<ConnectionState> {
-        if let DiscoveryBehavior::CrowdedByOthers { patience } = self.shared.behavior() {
+        if let DiscoveryBehavior::OverloadedByOthers { patience } = self.shared.behavior() {
             return self.reject_after(call, patience).await;
         }
         if let DiscoveryBehavior::CrowdedQueue { service_time, patience, continues_at_once } =
@@ -180,7 +180,7 @@
             }
             DiscoveryBehavior::Healthy
             | DiscoveryBehavior::Silent
-            | DiscoveryBehavior::CrowdedByOthers { .. }
+            | DiscoveryBehavior::OverloadedByOthers { .. }
             | DiscoveryBehavior::CrowdedQueue { .. } => self.write_answer(call, call.answer()).await,
         }
     }
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -42,7 +42,7 @@
     /// Half of the body is written, then nothing more, and the connection stays open.
     Stall,
     /// Other callers take all of its time: a call ends in 503 after this time, and the watches that are open stay so.
-    CrowdedByOthers {
+    OverloadedByOthers {
         patience: Duration,
     },
     /// Calls are answered in turn, also those whose caller has left. A call that waits longer than `patience` ends
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -231,8 +231,8 @@
         DiscoveryBehavior::Delayed { delay: choices.milliseconds(300..1500), content },
     ];
     let crowded = [
-        DiscoveryBehavior::CrowdedByOthers { patience: Duration::ZERO },
-        DiscoveryBehavior::CrowdedByOthers { patience: Duration::from_secs(1) },
+        DiscoveryBehavior::OverloadedByOthers { patience: Duration::ZERO },
+        DiscoveryBehavior::OverloadedByOthers { patience: Duration::from_secs(1) },
     ];
     match mode {
         DiscoveryMode::Ask => choices.one_of(&[down.as_slice(), &slow, &crowded].concat()),
--- a/tests/support_soak/wider_faults.rs
+++ b/tests/support_soak/wider_faults.rs
@@ -45,7 +45,7 @@
 
 /// Discovery rejects calls, or is silent, for most of the run.
 fn add_lasting_fault(plan: &mut Plan, choices: &mut Choices) {
-    let crowded = DiscoveryBehavior::CrowdedByOthers { patience: choices.milliseconds(CROWD_PATIENCE_MS) };
+    let crowded = DiscoveryBehavior::OverloadedByOthers { patience: choices.milliseconds(CROWD_PATIENCE_MS) };
     let behavior = match plan.mode {
         DiscoveryMode::Ask => choices.one_of(&[crowded, crowded, DiscoveryBehavior::Silent]),
         DiscoveryMode::Push => DiscoveryBehavior::Silent,
