--- a/tests/drain_fleets.rs
+++ b/tests/drain_fleets.rs
@@ -79,7 +79,7 @@
     let fleet = DrainFleet::start(DiscoveryMode::Ask, 6).await;
     fleet.until_followed().await;
     fleet.discovery.set_latency(30);
-    fleet.discovery.set_behavior(DiscoveryBehavior::CrowdedQueue {
+    fleet.discovery.set_behavior(DiscoveryBehavior::OverloadedQueue {
         service_time: Duration::from_millis(120),
         patience: Duration::from_secs(1),
         continues_at_once,
@@ -110,7 +110,7 @@
     let fleet = DrainFleet::start(DiscoveryMode::Ask, sender_count).await;
     fleet.until_followed().await;
     fleet.discovery.set_latency(30);
-    fleet.discovery.set_behavior(DiscoveryBehavior::CrowdedQueue {
+    fleet.discovery.set_behavior(DiscoveryBehavior::OverloadedQueue {
         service_time: Duration::from_millis(service_time_ms),
         patience: Duration::from_millis(600),
         continues_at_once: true,
@@ -147,7 +147,7 @@
     fleet.add_endpoint();
     sleep(BEFORE_DRAIN).await;
     let calls = fleet.discovery.history().calls.len();
-    fleet.discovery.set_behavior(DiscoveryBehavior::CrowdedQueue {
+    fleet.discovery.set_behavior(DiscoveryBehavior::OverloadedQueue {
         service_time: Duration::from_millis(120),
         patience: Duration::from_secs(1),
         continues_at_once: false,
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -141,7 +141,7 @@
         if let DiscoveryBehavior::OverloadedByOthers { patience } = self.shared.behavior() {
             return self.reject_after(call, patience).await;
         }
-        if let DiscoveryBehavior::CrowdedQueue { service_time, patience, continues_at_once } =
+        if let DiscoveryBehavior::OverloadedQueue { service_time, patience, continues_at_once } =
             self.shared.behavior()
             && !(continues_at_once && self.shared.lock().continues_watch(call.index))
             && !self.take_turn(service_time, patience).await
@@ -181,7 +181,7 @@
             DiscoveryBehavior::Healthy
             | DiscoveryBehavior::Silent
             | DiscoveryBehavior::OverloadedByOthers { .. }
-            | DiscoveryBehavior::CrowdedQueue { .. } => self.write_answer(call, call.answer()).await,
+            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_answer(call, call.answer()).await,
         }
     }
 
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -54,7 +54,7 @@
     /// Calls are taken up in turn, which takes `service_time` for each. A watch that was taken up is answered at once
     /// when the list changes. A call that would wait for its turn longer than `patience` ends in 503 at once, and with
     /// it all open calls of its caller.
-    CrowdedQueue {
+    OverloadedQueue {
         service_time: Duration,
         patience: Duration,
         /// A watch that goes on is taken up at once, not in turn.
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -137,7 +137,7 @@
     if mode == DiscoveryMode::Push || choices.happens(40) {
         return DiscoveryBehavior::Healthy;
     }
-    DiscoveryBehavior::CrowdedQueue {
+    DiscoveryBehavior::OverloadedQueue {
         service_time: choices.milliseconds(20..130),
         patience: choices.milliseconds(600..1500),
         continues_at_once: true,
