--- a/tests/drain_fleets.rs
+++ b/tests/drain_fleets.rs
@@ -20,7 +20,7 @@
 }
 
 fn crowded(service_time_ms: u64) -> DiscoveryBehavior {
-    DiscoveryBehavior::CrowdedSerial {
+    DiscoveryBehavior::OverloadedSerial {
         service_time: Duration::from_millis(service_time_ms),
         patience: Duration::from_secs(2),
     }
--- a/tests/drain_slow_discovery.rs
+++ b/tests/drain_slow_discovery.rs
@@ -99,7 +99,7 @@
 
 #[tokio::test]
 async fn calls_are_answered_in_turn() {
-    let crowded = DiscoveryBehavior::CrowdedSerial {
+    let crowded = DiscoveryBehavior::OverloadedSerial {
         service_time: Duration::from_millis(700),
         patience: Duration::from_secs(2),
     };
--- a/tests/scripted_discovery.rs
+++ b/tests/scripted_discovery.rs
@@ -117,7 +117,7 @@
 async fn slow_answers_come_late_and_broken_ones_never() {
     let delay = QUIET_PERIOD;
     let late = DiscoveryBehavior::Delayed { delay, content: AnswerContent::WhenDue };
-    let crowded = DiscoveryBehavior::CrowdedSerial { service_time: delay, patience: delay * 4 };
+    let crowded = DiscoveryBehavior::OverloadedSerial { service_time: delay, patience: delay * 4 };
     for behavior in [late, DiscoveryBehavior::Drip { duration: delay }, crowded] {
         let discovery = ScriptedDiscovery::start(vec![record("a")]).await;
         discovery.set_behavior(behavior);
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -175,7 +175,7 @@
             DiscoveryBehavior::Drip { duration } => self.drip(call, duration).await,
             DiscoveryBehavior::BreakOff => self.break_off(call).await,
             DiscoveryBehavior::Stall => self.stall(call).await,
-            DiscoveryBehavior::CrowdedSerial { service_time, patience } => {
+            DiscoveryBehavior::OverloadedSerial { service_time, patience } => {
                 self.answer_in_turn(call, service_time, patience).await
             }
             DiscoveryBehavior::Healthy
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -47,7 +47,7 @@
     },
     /// Calls are answered in turn, also those whose caller has left. A call that waits longer than `patience` ends
     /// in 503.
-    CrowdedSerial {
+    OverloadedSerial {
         service_time: Duration,
         patience: Duration,
     },
