--- a/tests/drain_ambiguous_failures.rs
+++ b/tests/drain_ambiguous_failures.rs
@@ -44,7 +44,7 @@
 #[tokio::test]
 async fn a_response_is_lost_right_before_the_service_goes_down() {
     let scenario = start_watching().await;
-    scenario.discovery.spoil_next_answer(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.outage(DiscoveryBehavior::Refuse, OUTAGE).await;
--- a/tests/drain_partial_answers.rs
+++ b/tests/drain_partial_answers.rs
@@ -33,7 +33,7 @@
         if self.after_rejections {
             scenario.outage(DiscoveryBehavior::Reject503, BACKOFF_GROWN).await;
         }
-        scenario.discovery.spoil_next_answer(CALLER, self.fault);
+        scenario.discovery.set_answer_fault(CALLER, self.fault);
         scenario.drain();
         scenario
     }
@@ -63,7 +63,7 @@
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 6).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
-    scenario.discovery.spoil_next_answer(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.discovery.set_behavior(DiscoveryBehavior::Silent);
@@ -83,7 +83,7 @@
     scenario.discovery.set_behavior(DiscoveryBehavior::Reset);
     scenario.drain();
     sleep(BACKOFF_GROWN).await;
-    scenario.discovery.spoil_next_answer(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/drain_restarts.rs
+++ b/tests/drain_restarts.rs
@@ -208,7 +208,7 @@
     scenario.drain();
     scenario.move_discovery();
     sleep(MUST_BE_KNOWN_AFTER_RELOAD).await;
-    scenario.discovery.spoil_next_answer(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -158,7 +158,7 @@
     }
 
     /// Spoils the next answer to a caller.
-    pub(super) fn spoil_next_answer(&mut self, caller: usize, fault: AnswerFault) {
+    pub(super) fn set_answer_fault(&mut self, caller: usize, fault: AnswerFault) {
         self.faults.insert(caller, fault);
     }
 
--- a/tests/support/scripted_discovery.rs
+++ b/tests/support/scripted_discovery.rs
@@ -167,8 +167,8 @@
     }
 
     /// Spoils the next answer to a caller.
-    pub(crate) fn spoil_next_answer(&self, caller: usize, fault: AnswerFault) {
-        self.shared.lock().spoil_next_answer(caller, fault);
+    pub(crate) fn set_answer_fault(&self, caller: usize, fault: AnswerFault) {
+        self.shared.lock().set_answer_fault(caller, fault);
     }
 
     /// Leaves the calls that are open now without an answer. Later calls are answered.
