--- a/tests/support/drain_rules.rs
+++ b/tests/support/drain_rules.rs
@@ -1,32 +1,35 @@
-//! When a forwarder counts as told that an endpoint drains or was removed.
+//! When a change of the endpoint list counts as sent to a forwarder.
 //!
-//! Each rule gives the latest instant that it allows, or nothing if it does not apply. The earliest one holds.
+//! Each [`SentRule`] gives an instant, or none if it does not apply. The change counts as sent at the earliest
+//! of these instants.
 
 use super::discovery_history::{DiscoveryBehavior, DiscoveryCall, DiscoveryHistory, DiscoveryQuery};
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// A change counts as told this long after the service had it and could be reached, or a watch fell silent.
-const MAX_SILENCE: Duration = Duration::from_secs(6);
-/// A change that a silent watch misses counts as told this long after its wait was over, if that is later.
+/// A change counts as sent this long after the service had it and could be reached, or this long after a watch
+/// fell silent.
+const MAX_STALENESS: Duration = Duration::from_secs(6);
+/// A watch is overdue this long after the end of its wait. Until then, a change that it misses by its silence
+/// does not count as sent.
 const MAX_SILENCE_AFTER_WAIT: Duration = Duration::from_secs(2);
-/// A change counts as told this long after the signal to use another address.
+/// A change counts as sent this long after the signal to use another address of discovery.
 const MAX_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// A watch goes on if the next call comes within this time of the last answer.
+/// A call continues a watch if it arrives within this time after the answer to the watch.
 pub(super) const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
-/// The list may be this many times as old after a failed call.
+/// After a failed call, the list may be older than usual by this factor.
 const AGE_FACTOR_AFTER_FAILURE: u32 = 4;
 
 /// How the forwarder gets the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryMode {
-    /// It asks the service.
+    /// From the service, which all forwarders share.
     Ask,
-    /// An agent beside it gets the list.
+    /// From a local agent, which receives the list from the service.
     Push,
 }
 
-/// The figures of the settings.
+/// The settings of a forwarder that the drain rule depends on.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DrainSettings {
     pub mode: DiscoveryMode,
@@ -34,45 +37,45 @@
     pub ask_within: Duration,
 }
 
-/// Why a change counts as told.
+/// The rule by which a change counts as sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum ToldBy {
-    /// An answer that contains the change was written, whether or not it arrived whole.
+pub(crate) enum SentRule {
+    /// An answer with the change was written, whether or not it arrived completely.
     Answer,
-    /// The change was made between two calls of a watch that went on.
+    /// The change was made between an answer to a watch and the next call.
     WatchGap,
-    /// A watch has been silent for too long.
+    /// A watch that missed the change has been silent for the maximum time.
     SilentWatch,
-    /// The service has had the change and could be reached for too long.
+    /// The service has had the change, and could be reached, for the maximum staleness.
     ReachableService,
     /// The list is older than the settings allow.
     ListAge,
-    /// The agent had the change.
+    /// The local agent has the change.
     Agent,
-    /// The signal to use another address was long ago.
+    /// The maximum delay after the signal to use another address has passed.
     Reload,
 }
 
-/// When a change counts as told, and why.
+/// When a change counts as sent, and by which rule.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Told {
+pub(crate) struct SentTime {
     pub at: Instant,
-    pub by: ToldBy,
+    pub rule: SentRule,
 }
 
-/// What the rules look at: one process and the service that it calls.
-pub(super) struct ToldRules<'a> {
+/// Applies the rules to one forwarder process and the service that it calls.
+pub(super) struct SentTimeRules<'a> {
     pub settings: DrainSettings,
     pub history: &'a DiscoveryHistory,
     /// From the start of the process to the start of the next one.
-    pub life: Range<Instant>,
-    /// When the process was told to use another address.
+    pub lifetime: Range<Instant>,
+    /// The signals to use another address of discovery, including those to other processes of the forwarder.
     pub reloads: &'a [Instant],
 }
 
-impl ToldRules<'_> {
-    /// When the process counts as told of the list version with this index.
-    pub(super) fn told(&self, version: usize) -> Option<Told> {
+impl SentTimeRules<'_> {
+    /// When the list version with this index counts as sent to the process.
+    pub(super) fn sent_time(&self, version: usize) -> Option<SentTime> {
         let made_at = self.history.versions[version].made_at;
         let answers = self.answers(version);
         let silent_watches = self.calls().filter_map(|call| self.silent_watch(call, made_at));
@@ -82,25 +85,27 @@
             }
             DiscoveryMode::Push => vec![self.agent(made_at)],
         };
-        let told = answers.chain(silent_watches).chain(by_mode.into_iter().flatten());
-        told.chain(self.reload(made_at)).min()
+        let times = answers.chain(silent_watches).chain(by_mode.into_iter().flatten());
+        times.chain(self.reload(made_at)).min()
     }
 
     fn calls(&self) -> impl Iterator<Item = &DiscoveryCall> {
-        self.history.calls.iter().filter(|call| self.life.contains(&call.arrived_at))
+        self.history.calls.iter().filter(|call| self.lifetime.contains(&call.arrived_at))
     }
 
-    /// An answer to an earlier process of the forwarder tells this one too.
-    fn answers(&self, version: usize) -> impl Iterator<Item = Told> {
-        let until = self.life.end;
+    /// A change counts as sent with each answer that contains it, also with one to an earlier process of the
+    /// forwarder.
+    fn answers(&self, version: usize) -> impl Iterator<Item = SentTime> {
+        let until = self.lifetime.end;
         let calls = self.history.calls.iter().filter(move |call| call.arrived_at < until);
         let answered = calls.filter(move |call| call.is_answered_with(version));
-        answered.filter_map(|call| Some(Told { at: call.written?.at, by: ToldBy::Answer }))
+        answered.filter_map(|call| Some(SentTime { at: call.written?.at, rule: SentRule::Answer }))
     }
 
-    /// The changes between an answer to a watch and its next call count as told, for as long as a watch may go on. Whether
-    /// the next call comes in that time cannot be known when the change is made. A watch ends when the service goes down.
-    fn watch_gap(&self, made_at: Instant) -> Option<Told> {
+    /// A change between an answer to a watch and the next call counts as sent at once, up to `MAX_WATCH_GAP` after
+    /// the answer, even if the next call comes later: this cannot be known when the change is made. A watch ends
+    /// when the service goes down.
+    fn watch_gap(&self, made_at: Instant) -> Option<SentTime> {
         if !self.history.behavior_at(made_at).is_reachable() {
             return None;
         }
@@ -115,27 +120,28 @@
             let gap_end = answered_at + MAX_WATCH_GAP;
             (answered_at..=next_call.map_or(gap_end, |next| next.min(gap_end))).contains(&made_at)
         });
-        is_in_gap.then_some(Told { at: made_at, by: ToldBy::WatchGap })
+        is_in_gap.then_some(SentTime { at: made_at, rule: SentRule::WatchGap })
     }
 
-    /// What a silent watch misses counts as told some time after it fell silent. An agent that is silent to every call, as while
-    /// discovery is down, learns nothing; what it gets at its return counts then.
-    fn silent_watch(&self, call: &DiscoveryCall, made_at: Instant) -> Option<Told> {
+    /// A change that a silent watch misses counts as sent some time after the watch fell silent. A local agent
+    /// that is silent to every call, as it is while discovery is down, has no new list: a change counts as sent
+    /// once the agent responds again.
+    fn silent_watch(&self, call: &DiscoveryCall, made_at: Instant) -> Option<SentTime> {
         let DiscoveryQuery::Watch { wait, .. } = call.query else { return None };
         let silent_since = call.silent_since?;
         let is_missed = call.arrived_at <= made_at && call.end.is_none_or(|end| made_at < end.at);
         let after_wait = call.arrived_at + wait + MAX_SILENCE_AFTER_WAIT;
-        let mut at = made_at.max(after_wait).max(silent_since + MAX_SILENCE);
+        let mut at = made_at.max(after_wait).max(silent_since + MAX_STALENESS);
         if self.settings.mode == DiscoveryMode::Push {
             at = self.history.first_instant_with(at, |behavior| behavior != DiscoveryBehavior::Silent)?;
         }
-        is_missed.then_some(Told { at, by: ToldBy::SilentWatch })
+        is_missed.then_some(SentTime { at, rule: SentRule::SilentWatch })
     }
 
-    /// Without a watch, a change counts as told once it is older than the settings allow a list to be, counted from
-    /// the last call.
-    fn list_age(&self, made_at: Instant) -> Option<Told> {
-        let start = LastCall { at: self.life.start, has_failed: false };
+    /// While no watch is open, a change counts as sent once the maximum age of the list has passed since the
+    /// change and since the end of the last call.
+    fn list_age(&self, made_at: Instant) -> Option<SentTime> {
+        let start = LastCall { at: self.lifetime.start, has_failed: false };
         let ended = self
             .calls()
             .filter_map(|call| Some(LastCall { at: call.end?.at, has_failed: call.has_failed() }));
@@ -143,7 +149,7 @@
         last_calls.extend(self.hidden_failures());
         last_calls.sort_by_key(|call| call.at);
         let next_calls = last_calls.iter().skip(1).map(|call| Some(call.at)).chain([None]);
-        let told = last_calls.iter().zip(next_calls).filter_map(|(last, next)| {
+        let times = last_calls.iter().zip(next_calls).filter_map(|(last, next)| {
             let at = made_at.max(last.at) + self.max_age(*last);
             let is_next_later = next.is_none_or(|next| at < next);
             let is_watching = self.calls().any(|call| {
@@ -151,9 +157,9 @@
                     && call.arrived_at <= at
                     && call.end.is_none_or(|end| at < end.at)
             });
-            (is_next_later && !is_watching).then_some(Told { at, by: ToldBy::ListAge })
+            (is_next_later && !is_watching).then_some(SentTime { at, rule: SentRule::ListAge })
         });
-        told.min()
+        times.min()
     }
 
     fn max_age(&self, last: LastCall) -> Duration {
@@ -164,90 +170,93 @@
         }
     }
 
-    /// The failed calls that the service did not see, at the beginning and the end of each time in which it could not
-    /// be reached.
+    /// The failed calls that did not reach the service: one at the beginning and one at the end of each period in
+    /// which it accepted no connections.
     fn hidden_failures(&self) -> impl Iterator<Item = LastCall> {
         let pairs = self.history.periods.windows(2);
         let hidden = pairs.filter(|pair| pair[0].behavior.hides_calls());
         hidden.flat_map(|pair| pair.iter().map(|period| LastCall { at: period.began_at, has_failed: true }))
     }
 
-    /// After a call that was of no use, a change counts as told some time after the service had it and could be reached.
-    fn reachable_service(&self, version: usize) -> Option<Told> {
+    /// After a call that failed, was answered without the change or is overdue, a change counts as sent
+    /// `MAX_STALENESS` after the service had it and could be reached.
+    fn reachable_service(&self, version: usize) -> Option<SentTime> {
         let made_at = self.history.versions[version].made_at;
-        let earliest = self.reachable_from(made_at)? + MAX_SILENCE;
+        let earliest = self.reachable_from(made_at)? + MAX_STALENESS;
         let is_old_list =
             |call: &&DiscoveryCall| !call.has_failed() && call.end.is_some_and(|end| end.at < made_at);
         let old_list_at = self.calls().filter(is_old_list).filter_map(|call| Some(call.end?.at)).max();
-        let useless_calls = self.calls().filter(|call| !is_old_list(call) && !call.is_answered_with(version));
-        let useless_ends = useless_calls.filter_map(|call| Some(call.end?.at));
+        let uninformative_calls =
+            self.calls().filter(|call| !is_old_list(call) && !call.is_answered_with(version));
+        let uninformative_ends = uninformative_calls.filter_map(|call| Some(call.end?.at));
         let hidden_ends = self.hidden_failures().map(|call| call.at);
         let after_old_list = |end: &Instant| old_list_at.is_none_or(|old_list_at| old_list_at < *end);
-        let useless = useless_ends.chain(hidden_ends).filter(after_old_list);
-        let at = useless.chain(self.overdue_calls()).min()?.max(earliest);
-        Some(Told { at, by: ToldBy::ReachableService })
+        let uninformative = uninformative_ends.chain(hidden_ends).filter(after_old_list);
+        let at = uninformative.chain(self.overdue_calls()).min()?.max(earliest);
+        Some(SentTime { at, rule: SentRule::ReachableService })
     }
 
-    /// When each call that was open for too long should have been answered.
+    /// When each overdue call should have been answered.
     fn overdue_calls(&self) -> impl Iterator<Item = Instant> {
         self.calls().filter_map(|call| {
             let due_at = call.arrived_at
                 + match call.query {
-                    DiscoveryQuery::CompleteList => MAX_SILENCE,
+                    DiscoveryQuery::CompleteList => MAX_STALENESS,
                     DiscoveryQuery::Watch { wait, .. } => wait + MAX_SILENCE_AFTER_WAIT,
                 };
             call.end.is_none_or(|end| due_at < end.at).then_some(due_at)
         })
     }
 
-    /// The first instant from `instant` on, within this life, from which the service can be reached for as long as a
-    /// change may be unknown.
+    /// The first instant from `instant` on, within the lifetime of the process, from which the service can be
+    /// reached for `MAX_STALENESS`.
     fn reachable_from(&self, instant: Instant) -> Option<Instant> {
-        let mut from = instant.max(self.life.start);
+        let mut from = instant.max(self.lifetime.start);
         loop {
             from = self.history.first_instant_with(from, DiscoveryBehavior::is_reachable)?;
             match self.history.first_instant_with(from, |behavior| !behavior.is_reachable()) {
-                Some(next_outage) if next_outage < from + MAX_SILENCE => from = next_outage,
+                Some(next_outage) if next_outage < from + MAX_STALENESS => from = next_outage,
                 _ => return Some(from),
             }
         }
     }
 
-    /// What the agent has counts as told. While it is down or silent it learns nothing, and what it got meanwhile, or
-    /// while it was slow, counts when it is written, or some time after that.
-    fn agent(&self, made_at: Instant) -> Option<Told> {
+    /// A change that a healthy local agent has counts as sent at once, or when the process starts. A change that
+    /// was made while the agent was down, silent or slow counts as sent when it is written, or `MAX_STALENESS`
+    /// after the agent can respond again.
+    fn agent(&self, made_at: Instant) -> Option<SentTime> {
         let was_silent_watch = self.calls().any(|call| self.silent_watch(call, made_at).is_some());
         if was_silent_watch {
             return None;
         }
         let is_healthy = |behavior| behavior == DiscoveryBehavior::Healthy;
         let healthy_from = self.history.first_instant_with(made_at, is_healthy);
-        let had_before_start = healthy_from.is_some_and(|healthy_from| healthy_from <= self.life.start);
+        let had_before_start = healthy_from.is_some_and(|healthy_from| healthy_from <= self.lifetime.start);
         if healthy_from == Some(made_at) || had_before_start {
-            return Some(Told { at: made_at.max(self.life.start), by: ToldBy::Agent });
+            return Some(SentTime { at: made_at.max(self.lifetime.start), rule: SentRule::Agent });
         }
         let has_agent =
             |behavior: DiscoveryBehavior| behavior.is_reachable() && behavior != DiscoveryBehavior::Silent;
-        let from = self.history.first_instant_with(made_at.max(self.life.start), has_agent)?;
-        Some(Told { at: from + MAX_SILENCE, by: ToldBy::Agent })
+        let from = self.history.first_instant_with(made_at.max(self.lifetime.start), has_agent)?;
+        Some(SentTime { at: from + MAX_STALENESS, rule: SentRule::Agent })
     }
 
-    /// What the service at another address has counts as told some time after the last signal. A signal to an earlier
-    /// process says nothing to this one.
-    fn reload(&self, made_at: Instant) -> Option<Told> {
+    /// A change counts as sent some time after the signal to use another address, unless another signal follows in
+    /// that time. A signal to an earlier process does not count.
+    fn reload(&self, made_at: Instant) -> Option<SentTime> {
         let reloads: Vec<Instant> =
-            self.reloads.iter().copied().filter(|reload| self.life.contains(reload)).collect();
-        let told = reloads.iter().enumerate().filter_map(|(index, reload)| {
+            self.reloads.iter().copied().filter(|reload| self.lifetime.contains(reload)).collect();
+        let times = reloads.iter().enumerate().filter_map(|(index, reload)| {
             let at = *reload + MAX_DELAY_AFTER_RELOAD;
             let is_last = reloads.get(index + 1).is_none_or(|next| at < *next);
             let is_reachable = self.history.behavior_at(at).is_reachable();
-            (is_last && is_reachable && made_at <= at).then_some(Told { at, by: ToldBy::Reload })
+            (is_last && is_reachable && made_at <= at).then_some(SentTime { at, rule: SentRule::Reload })
         });
-        told.min()
+        times.min()
     }
 }
 
-/// When the last call ended, or the process began.
+/// The end of the last call, or the start of the process.
 #[derive(Clone, Copy, Debug)]
 struct LastCall {
     at: Instant,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) use discovery_stub::{DiscoveryStub, endpoint, endpoint_list, plain_endpoint};
 pub(crate) use drain_checker::{DrainViolation, ForwarderTimeline, ViolationSummary, check_drains};
 pub(crate) use drain_fleet::DrainFleet;
-pub(crate) use drain_rules::{DiscoveryMode, DrainSettings, ToldBy};
+pub(crate) use drain_rules::{DiscoveryMode, DrainSettings, SentRule};
 pub(crate) use drain_scenario::{
     DESTINATION, DrainScenario, ForwarderEnd, LONGEST_DELAY, LONGEST_SLOW_DELAY, drain_settings, run_cases,
     set_discovery,
