--- a/tests/support/drain_checker.rs
+++ b/tests/support/drain_checker.rs
@@ -1,10 +1,11 @@
 //! Checks the drain rule: requests to an endpoint that drains or was removed stop within a grace period.
 //!
-//! The grace period starts when the change of the endpoint list counts as sent to the forwarder, that is at the
-//! earliest of the instants that `drain_rules` gives. It lasts `stop_sending_within` and an allowance for sockets.
-//! If a forwarder is upgraded meanwhile, the period starts again some time after the successor was ready. A
-//! first byte of a request that arrives at the endpoint after the period is a violation, unless the endpoint
-//! is in service again.
+//! The grace period starts when the change of the endpoint list counts as sent to the forwarder: when an
+//! answer with the change is written, even if the answer is lost, or at one of the other instants that
+//! `drain_rules` gives if that is earlier. The period lasts `stop_sending_within` and an allowance for
+//! sockets. If the forwarder is upgraded meanwhile, it starts [`MAX_DELAY_AFTER_UPGRADE`] after the successor
+//! was ready. A first byte of a request that arrives at the endpoint after the period is a violation, unless
+//! the endpoint is in service again.
 
 use super::discovery_history::{DiscoveryHistory, Route};
 use super::drain_rules::{DrainSettings, SentRule, SentTime, SentTimeRules};
@@ -16,8 +17,7 @@
 
 /// Added to every time limit on sockets.
 const SOCKET_ALLOWANCE: Duration = Duration::from_millis(50);
-/// A change that was sent to a predecessor counts as sent to its successor this long after the successor was
-/// ready.
+/// A change whose grace period overlaps an upgrade counts as sent this long after the successor was ready.
 const MAX_DELAY_AFTER_UPGRADE: Duration = Duration::from_secs(2);
 
 /// When the processes of a forwarder started, were upgraded and received signals.
--- a/tests/support/drain_rules.rs
+++ b/tests/support/drain_rules.rs
@@ -1,14 +1,14 @@
 //! When a change of the endpoint list counts as sent to a forwarder.
 //!
-//! Each [`SentRule`] gives an instant, or none if it does not apply. The change counts as sent at the earliest
-//! of these instants.
+//! Each [`SentRule`] gives an instant, or none if it does not apply. The change counts as sent at the
+//! earliest of these instants.
 
 use super::discovery_history::{DiscoveryBehavior, DiscoveryCall, DiscoveryHistory, DiscoveryQuery};
 use std::ops::Range;
 use std::time::{Duration, Instant};
 
-/// A change counts as sent this long after the service had it and could be reached, or this long after a watch
-/// fell silent.
+/// A change counts as sent this long after the service had it and could be reached, or this long after a
+/// watch fell silent.
 const MAX_STALENESS: Duration = Duration::from_secs(6);
 /// A watch is overdue this long after the end of its wait. Until then, a change that it misses by its silence
 /// does not count as sent.
@@ -93,8 +93,7 @@
         self.history.calls.iter().filter(|call| self.lifetime.contains(&call.arrived_at))
     }
 
-    /// A change counts as sent with each answer that contains it, also with one to an earlier process of the
-    /// forwarder.
+    /// A change counts as sent with each answer that contains it, even if an earlier process made the call.
     fn answers(&self, version: usize) -> impl Iterator<Item = SentTime> {
         let until = self.lifetime.end;
         let calls = self.history.calls.iter().filter(move |call| call.arrived_at < until);
@@ -102,9 +101,9 @@
         answered.filter_map(|call| Some(SentTime { at: call.written?.at, rule: SentRule::Answer }))
     }
 
-    /// A change between an answer to a watch and the next call counts as sent at once, up to `MAX_WATCH_GAP` after
-    /// the answer, even if the next call comes later: this cannot be known when the change is made. A watch ends
-    /// when the service goes down.
+    /// A change between an answer to a watch and the next call counts as sent at once, up to `MAX_WATCH_GAP`
+    /// after the answer, whether or not the next call continues the watch: this is unknown when the change is
+    /// made. A watch ends when the service goes down.
     fn watch_gap(&self, made_at: Instant) -> Option<SentTime> {
         if !self.history.behavior_at(made_at).is_reachable() {
             return None;
@@ -123,9 +122,9 @@
         is_in_gap.then_some(SentTime { at: made_at, rule: SentRule::WatchGap })
     }
 
-    /// A change that a silent watch misses counts as sent some time after the watch fell silent. A local agent
-    /// that is silent to every call, as it is while discovery is down, has no new list: a change counts as sent
-    /// once the agent responds again.
+    /// A change that a silent watch misses counts as sent some time after the watch fell silent. A local
+    /// agent that is silent to every call, as it is while discovery is down, has no new list: a change counts
+    /// as sent once the agent responds again.
     fn silent_watch(&self, call: &DiscoveryCall, made_at: Instant) -> Option<SentTime> {
         let DiscoveryQuery::Watch { wait, .. } = call.query else { return None };
         let silent_since = call.silent_since?;
@@ -170,8 +169,8 @@
         }
     }
 
-    /// The failed calls that did not reach the service: one at the beginning and one at the end of each period in
-    /// which it accepted no connections.
+    /// The failed calls that did not reach the service: one at the beginning and one at the end of each
+    /// period in which it accepted no connections.
     fn hidden_failures(&self) -> impl Iterator<Item = LastCall> {
         let pairs = self.history.periods.windows(2);
         let hidden = pairs.filter(|pair| pair[0].behavior.hides_calls());
@@ -221,9 +220,9 @@
         }
     }
 
-    /// A change that a healthy local agent has counts as sent at once, or when the process starts. A change that
-    /// was made while the agent was down, silent or slow counts as sent when it is written, or `MAX_STALENESS`
-    /// after the agent can respond again.
+    /// A change that a healthy local agent has counts as sent at once, or when the process starts. A change
+    /// that was made while the agent was down, silent or slow counts as sent when it is written, or
+    /// `MAX_STALENESS` after the agent can respond again.
     fn agent(&self, made_at: Instant) -> Option<SentTime> {
         let was_silent_watch = self.calls().any(|call| self.silent_watch(call, made_at).is_some());
         if was_silent_watch {
@@ -241,8 +240,8 @@
         Some(SentTime { at: from + MAX_STALENESS, rule: SentRule::Agent })
     }
 
-    /// A change counts as sent some time after the signal to use another address, unless another signal follows in
-    /// that time. A signal to an earlier process does not count.
+    /// A change counts as sent some time after the signal to use another address, unless another signal
+    /// follows in that time. A signal to an earlier process does not count.
     fn reload(&self, made_at: Instant) -> Option<SentTime> {
         let reloads: Vec<Instant> =
             self.reloads.iter().copied().filter(|reload| self.lifetime.contains(reload)).collect();
