--- a/tests/drain_checker.rs
+++ b/tests/drain_checker.rs
@@ -1,5 +1,5 @@
-//! Tests the checker of the drain rule on composed histories: a first byte after the grace period is a violation, and
-//! one within it is not.
+//! Tests the checker of the drain rule on composed histories: a first byte after the grace period is a
+//! violation, and one within it is not.
 
 mod support;
 
@@ -14,7 +14,7 @@
 /// The grace period, with the allowance for sockets.
 const GRACE_MS: u64 = 550;
 
-/// The history of a run that did not take place. All times are in milliseconds after its start.
+/// A history of calls and changes that the test composes. All times are in milliseconds after its start.
 struct ComposedRun {
     start: Instant,
     mode: DiscoveryMode,
@@ -74,8 +74,8 @@
         check_drains(settings, DESTINATION, &self.history, &self.timeline, &[first_byte])
     }
 
-    /// Asserts that a change counts as sent at this time by this rule: a first byte is in time up to the end of the
-    /// grace period, and late after that.
+    /// Asserts that a change counts as sent at this time by this rule: a first byte is in time up to the end
+    /// of the grace period, and late after that.
     fn assert_sent(&self, sent_ms: u64, sent_rule: SentRule) {
         let last_ms = sent_ms + GRACE_MS;
         assert_eq!(self.check(last_ms), []);
@@ -188,13 +188,13 @@
     let run = ComposedRun::new(DiscoveryMode::Ask, 1000).behavior(DiscoveryBehavior::Silent, 800).call(
         DiscoveryQuery::CompleteList,
         900,
-        Some((1400, CallOutcome::GivenUp)),
+        Some((1400, CallOutcome::Abandoned)),
     );
     run.assert_sent(7000, SentRule::ReachableService);
 }
 
 #[test]
-fn an_empty_answer_of_a_restarted_service_does_not_delay_the_time_limit() {
+fn an_empty_answer_of_a_restarted_service_does_not_cancel_the_time_limit() {
     let run = ComposedRun::new(DiscoveryMode::Ask, 1000)
         .call(watch(), 100, Some((900, CallOutcome::Broken)))
         .call(watch(), 1100, Some((1100, NO_CHANGE)))
--- a/tests/scripted_discovery.rs
+++ b/tests/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! The scripted discovery service of the drain tests does what its behaviors say.
+//! Tests the behaviors of the scripted discovery service that the drain tests use.
 
 mod support;
 
@@ -11,14 +11,14 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
 
-/// A call that waits at the service for longer than a test takes.
+/// A watch whose wait is longer than a test takes.
 const LONG_WATCH: &str = "/api/targets?index=1&wait=20000";
 
 fn record(uid: &str) -> Value {
     plain_endpoint(uid, ([127, 0, 0, 1], 9000).into(), 7)
 }
 
-/// Calls for the list. Returns `None` if there is no complete response.
+/// Requests the list. Returns the status and the body, or `None` if there is no complete response.
 async fn get(address: SocketAddr, path: &str) -> Option<(u16, Value)> {
     let response = request(address, "GET", path, &[], b"").await?;
     Some((response.status().as_u16(), serde_json::from_slice(response.body()).unwrap_or_default()))
@@ -52,7 +52,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_is_ahead_of_a_restarted_service_gets_no_changes() {
+async fn a_caller_with_a_newer_revision_than_a_restarted_service_receives_no_changes() {
     let discovery = ScriptedDiscovery::start(vec![record("a")]).await;
     (0..5).for_each(|_| discovery.change(record("a")));
     discovery.restart_at_revision(3);
@@ -71,7 +71,7 @@
         discovery.until_watched().await;
         discovery.set_behavior(behavior);
         assert_eq!(watch.await.expect("it ends"), None);
-        // The listener closes soon, but not at once.
+        // The listener is not closed immediately.
         while timeout(QUIET_PERIOD, TcpStream::connect(discovery.address))
             .await
             .is_ok_and(|made| made.is_ok())
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn calls_that_fell_silent_stay_so() {
+async fn silenced_calls_are_not_answered_after_the_service_recovers() {
     let discovery = ScriptedDiscovery::start(vec![record("a")]).await;
     let watch = tokio::spawn(get(discovery.address, LONG_WATCH));
     discovery.until_watched().await;
@@ -114,11 +114,11 @@
 }
 
 #[tokio::test]
-async fn slow_answers_come_late_and_broken_ones_never() {
+async fn slow_answers_are_late_and_interrupted_ones_never_complete() {
     let delay = QUIET_PERIOD;
     let late = DiscoveryBehavior::Delayed { delay, content: AnswerContent::WhenDue };
-    let crowded = DiscoveryBehavior::OverloadedSerial { service_time: delay, patience: delay * 4 };
-    for behavior in [late, DiscoveryBehavior::Drip { duration: delay }, crowded] {
+    let overloaded = DiscoveryBehavior::OverloadedSerial { service_time: delay, patience: delay * 4 };
+    for behavior in [late, DiscoveryBehavior::Drip { duration: delay }, overloaded] {
         let discovery = ScriptedDiscovery::start(vec![record("a")]).await;
         discovery.set_behavior(behavior);
         let called_at = Instant::now();
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a scripted discovery service.
+//! Serves a connection to a scripted discovery service.
 
 use super::discovery_history::{AnswerContent, AnswerFault, CallOutcome, DiscoveryBehavior, DiscoveryQuery};
 use super::discovery_state::ListAnswer;
@@ -14,7 +14,7 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// How many pieces a body is written in by a service whose answers drip.
+/// The number of pieces in which [`DiscoveryBehavior::Drip`] writes a body.
 const DRIP_PIECES: u32 = 40;
 
 /// Whether a connection takes further requests.
@@ -44,7 +44,7 @@
     }
 }
 
-/// A call that is recorded as broken unless something else ends it.
+/// An open call. It is recorded as broken when it is dropped without another end.
 struct OpenCall {
     index: usize,
     query: DiscoveryQuery,
@@ -69,13 +69,13 @@
         self.shared.lock().history.calls[self.index].silent_since.is_some()
     }
 
-    /// Whether the service has ended the call already, by 503.
+    /// Whether the service has rejected the call already.
     fn is_rejected(&self) -> bool {
         let end = self.shared.lock().history.calls[self.index].end;
         end.is_some_and(|end| end.outcome == CallOutcome::Rejected)
     }
 
-    /// Whether the answer is due: nothing to wait for, or something newer than the caller has.
+    /// Whether the answer is due: the call does not wait for a change, or the caller has another revision.
     fn is_due(&self) -> bool {
         match self.query {
             DiscoveryQuery::CompleteList => true,
@@ -151,7 +151,7 @@
         tokio::select! {
             () = self.until_due(call) => {}
             () = self.until_closed() => {
-                call.end(CallOutcome::GivenUp);
+                call.end(CallOutcome::Abandoned);
                 return Ok(ConnectionState::Closed);
             }
         }
@@ -159,11 +159,11 @@
             return self.reject(call).await;
         }
         let behavior = self.shared.behavior();
-        // A service that is down writes no answer that could be spoilt.
+        // A service that is down writes no answer, so the fault remains for a later one.
         let is_answering = behavior.is_reachable();
         let fault = if is_answering { self.shared.lock().take_fault(self.caller) } else { None };
         if let Some(fault) = fault {
-            return self.spoil(call, fault).await;
+            return self.answer_with_fault(call, fault).await;
         }
         match behavior {
             DiscoveryBehavior::Reject503 => self.reject(call).await,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Waits until the call has to be answered or rejected; for ever if it has fallen silent.
+    /// Waits until the call has to be answered or rejected. Never returns if the call has fallen silent.
     async fn until_due(&self, call: &OpenCall) {
         let mut changes = self.shared.subscribe();
         let wait = match call.query {
@@ -212,17 +212,17 @@
         }
     }
 
-    /// Waits, and returns whether the call can still be answered.
+    /// Waits for this delay, and returns whether the call can still be answered. Ends the call if it cannot.
     async fn wait_before_answer(&self, call: &OpenCall, delay: Duration) -> bool {
         let is_open = tokio::select! {
             () = sleep(delay) => true,
             () = self.until_closed() => false,
         };
         if !is_open {
-            call.end(CallOutcome::GivenUp);
+            call.end(CallOutcome::Abandoned);
         } else if call.is_silent() {
             self.until_closed().await;
-            call.end(CallOutcome::GivenUp);
+            call.end(CallOutcome::Abandoned);
             return false;
         }
         is_open
@@ -276,10 +276,10 @@
         let Ok(_turn) = timeout(patience, shared.turn.lock()).await else {
             return self.reject(call).await;
         };
-        // Abandoned calls take their time too.
+        // An abandoned call takes this time too.
         sleep(service_time).await;
         if timeout(Duration::ZERO, self.until_closed()).await.is_ok() {
-            call.end(CallOutcome::GivenUp);
+            call.end(CallOutcome::Abandoned);
             return Ok(ConnectionState::Closed);
         }
         self.write_answer(call, call.answer()).await
@@ -308,7 +308,7 @@
     async fn stall(&mut self, call: &OpenCall) -> io::Result<ConnectionState> {
         self.write_half(call).await?;
         self.until_closed().await;
-        call.end(CallOutcome::GivenUp);
+        call.end(CallOutcome::Abandoned);
         Ok(ConnectionState::Closed)
     }
 
@@ -320,7 +320,11 @@
         self.stream.write_all(&body.as_bytes()[..body.len() / 2]).await
     }
 
-    async fn spoil(&mut self, call: &OpenCall, fault: AnswerFault) -> io::Result<ConnectionState> {
+    async fn answer_with_fault(
+        &mut self,
+        call: &OpenCall,
+        fault: AnswerFault,
+    ) -> io::Result<ConnectionState> {
         match fault {
             AnswerFault::BreakOff => self.break_off(call).await,
             AnswerFault::Stall => self.stall(call).await,
@@ -333,16 +337,16 @@
         }
     }
 
-    /// Waits for the turn of a call, unless that would come too late. Returns whether the call was taken up.
+    /// Waits for the turn of a call unless that exceeds `patience`. Returns whether the call was accepted.
     async fn take_turn(&self, service_time: Duration, patience: Duration) -> bool {
         let waiting = self.shared.queue_length.fetch_add(1, Ordering::Relaxed);
-        let is_taken_up = service_time * waiting <= patience;
-        if is_taken_up {
+        let is_accepted = service_time * waiting <= patience;
+        if is_accepted {
             let _turn = self.shared.turn.lock().await;
             sleep(service_time).await;
         }
         self.shared.queue_length.fetch_sub(1, Ordering::Relaxed);
-        is_taken_up
+        is_accepted
     }
 
     async fn respond(&mut self, status: &str, body: &str) -> io::Result<()> {
@@ -355,7 +359,7 @@
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n", body.len())
 }
 
-/// The query of a request for the list.
+/// Parses the query of a request for the list.
 fn parse_query(request_line: &str) -> DiscoveryQuery {
     let target = request_line.split(' ').nth(1).unwrap_or_default();
     let number = |name: &str| -> Option<u64> {
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -1,4 +1,4 @@
-//! What a scripted discovery service did and when: the versions of its list, the calls it got, and its faults.
+//! The history of a scripted discovery service: the versions of its list, the calls and its behaviors.
 
 use serde_json::Value;
 use std::collections::BTreeSet;
@@ -14,21 +14,22 @@
     WhenWritten,
 }
 
-/// How the service treats its callers.
+/// How the service responds to calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryBehavior {
     Healthy,
-    /// Every call ends in 503, those that wait included.
+    /// Every call is rejected with 503, also the open watches.
     Reject503,
     /// Connections are accepted, and reset once a request has arrived. Open connections are reset.
     Reset,
     /// Nothing listens. Open connections are reset.
     Refuse,
-    /// The queue of the listener is full, so that no connection comes up. Open connections are reset.
+    /// The queue of the listener is full, so that no connection is established. Open connections are reset.
     NeverAccept,
-    /// Calls are read and never answered, not even later; nor are the calls that were open before.
+    /// Calls are read and never answered, not even after this behavior ends. The same applies to the calls
+    /// that were open when it began.
     Silent,
-    /// Every answer is written this much later.
+    /// Every answer is written with this delay.
     Delayed {
         delay: Duration,
         content: AnswerContent,
@@ -41,52 +42,54 @@
     BreakOff,
     /// Half of the body is written, then nothing more, and the connection stays open.
     Stall,
-    /// Other callers take all of its time: a call ends in 503 after this time, and the watches that are open stay so.
+    /// The calls of others occupy the service: a new call is rejected with 503 after `patience`, and open
+    /// watches stay open.
     OverloadedByOthers {
         patience: Duration,
     },
-    /// Calls are answered in turn, also those whose caller has left. A call that waits longer than `patience` ends
-    /// in 503.
+    /// Calls are served one by one, and abandoned calls take their time too. A call that waits for longer
+    /// than `patience` is rejected with 503.
     OverloadedSerial {
         service_time: Duration,
         patience: Duration,
     },
-    /// Calls are taken up in turn, which takes `service_time` for each. A watch that was taken up is answered at once
-    /// when the list changes. A call that would wait for its turn longer than `patience` ends in 503 at once, and with
-    /// it all open calls of its caller.
+    /// Calls are accepted one by one, which takes `service_time` for each. An accepted watch is answered at
+    /// once when the list changes. A call that would wait for its turn for longer than `patience` is rejected
+    /// with 503 at once, together with all open calls of its caller.
     OverloadedQueue {
         service_time: Duration,
         patience: Duration,
-        /// A watch that goes on is taken up at once, not in turn.
+        /// A call that continues a watch is accepted at once, without waiting for its turn.
         continues_at_once: bool,
     },
 }
 
-/// What happens to one answer.
+/// A fault of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerFault {
     /// Half of the body is written, then the connection is closed.
     BreakOff,
     /// Half of the body is written, then nothing more, and the connection stays open.
     Stall,
-    /// The connection is reset in the moment in which the answer is written, so that nothing of it arrives.
+    /// The connection is reset when the answer should be written, so that nothing of it arrives. The answer
+    /// is recorded as written.
     Lose,
-    /// The answer has the list as it was when it became due, and is written this much later.
+    /// The answer contains the list as it was when the answer became due, and is written with this delay.
     Outdated(Duration),
 }
 
 impl DiscoveryBehavior {
-    /// Whether a caller can reach the service, however slow it is.
+    /// Whether the service can be reached, even if it is slow.
     pub(crate) fn is_reachable(self) -> bool {
         !matches!(self, Self::Reject503 | Self::Reset | Self::Refuse | Self::NeverAccept)
     }
 
-    /// Whether the calls that are made meanwhile are not seen by the service.
+    /// Whether the service does not see the calls that are made meanwhile.
     pub(crate) fn hides_calls(self) -> bool {
         matches!(self, Self::Refuse | Self::NeverAccept)
     }
 
-    /// Whether open connections are reset when this begins.
+    /// Whether open connections are reset when this behavior begins.
     pub(super) fn resets_connections(self) -> bool {
         matches!(self, Self::Reset | Self::Refuse | Self::NeverAccept)
     }
@@ -124,7 +127,7 @@
     pub in_service: BTreeSet<Route>,
 }
 
-/// What a call asked for.
+/// What a call requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum DiscoveryQuery {
     CompleteList,
@@ -134,26 +137,26 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// An answer was written that contains the versions after `after_version` up to `version`, by their index.
+    /// An answer with the versions after `after_version` up to `version`, by index, was written.
     Answered { after_version: Option<usize>, version: usize },
     /// An error status was written.
     Rejected,
-    /// The service ended or broke off the connection.
+    /// The service closed or reset the connection.
     Broken,
     /// The caller closed the connection.
-    GivenUp,
+    Abandoned,
 }
 
 /// A call for the list.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct DiscoveryCall {
-    /// Which caller made it, counted from zero.
+    /// The number of the caller, counted from zero.
     pub caller: usize,
     pub query: DiscoveryQuery,
     pub arrived_at: Instant,
-    /// Since when it is certain that the call will not be answered, though its connection stays open.
+    /// Since when the call can no longer be answered, although its connection stays open.
     pub silent_since: Option<Instant>,
-    /// When the first byte of an answer was written, and what the answer contains. It may not arrive whole.
+    /// When the first byte of an answer was written, and its contents. It may not arrive completely.
     pub written: Option<CallEnd>,
     pub end: Option<CallEnd>,
 }
@@ -166,13 +169,13 @@
 }
 
 impl DiscoveryCall {
-    /// Whether an answer was written that contains the version of this index, whether or not it arrived.
+    /// Whether an answer with the version of this index was written, whether or not it arrived.
     pub(crate) fn is_answered_with(&self, index: usize) -> bool {
         self.written.is_some_and(|written| match written.outcome {
             CallOutcome::Answered { after_version, version } => {
                 after_version.is_none_or(|after| after < index) && index <= version
             }
-            CallOutcome::Rejected | CallOutcome::Broken | CallOutcome::GivenUp => false,
+            CallOutcome::Rejected | CallOutcome::Broken | CallOutcome::Abandoned => false,
         })
     }
 
@@ -182,7 +185,7 @@
     }
 }
 
-/// Everything that the service did so far.
+/// The history of the service.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct DiscoveryHistory {
     pub versions: Vec<ListVersion>,
@@ -197,7 +200,7 @@
         began.map_or(DiscoveryBehavior::Healthy, |period| period.behavior)
     }
 
-    /// The first instant from `instant` on at which the behavior matches; `None` if it does not any more.
+    /// The first instant from `instant` on at which the behavior matches; `None` if there is none.
     pub(crate) fn first_instant_with(
         &self,
         instant: Instant,
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -1,4 +1,4 @@
-//! The state of a scripted discovery service: its list, and its history.
+//! The state of a scripted discovery service: its list and its history.
 
 use super::discovery_history::{
     AnswerFault, BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory,
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
-/// A record of the list and the index of the version in which it changed last.
+/// A record of the list, with the index of the version in which it changed last.
 struct ListedRecord {
     record: Value,
     changed_in: usize,
@@ -22,18 +22,18 @@
     pub outcome: CallOutcome,
 }
 
-/// The list of a service, with the records that have been removed.
+/// The state of a service. Its list includes the records that have been removed.
 pub(super) struct DiscoveryState {
     pub behavior: DiscoveryBehavior,
     pub history: DiscoveryHistory,
     records: BTreeMap<String, ListedRecord>,
     /// The revision of the oldest version that the running service knows, and the index of that version.
     oldest: (u64, usize),
-    /// Callers that have an older version than this get the complete list.
+    /// Callers with an older version than the one of this index receive the complete list.
     replaced_in: usize,
-    /// What happens to the next answer to a caller.
+    /// The fault of the next answer to each caller.
     faults: BTreeMap<usize, AnswerFault>,
-    /// The ids of the messages that forwarders gave notice of.
+    /// The ids of the messages in the notices of forwarders.
     pub noticed_messages: BTreeSet<String>,
 }
 
@@ -62,14 +62,14 @@
         self.add_version();
     }
 
-    /// Removes a record. Watches are told that it is terminated.
+    /// Removes a record. Watches receive it in the state `terminated`.
     pub(super) fn remove(&mut self, uid: &str) {
         let mut record = self.records[uid].record.clone();
         record["state"] = json!("terminated");
         self.change(record);
     }
 
-    /// Replaces the list. Watches get the complete list, in which other records are missing.
+    /// Replaces the list. Watches receive the complete list, in which the removed records are missing.
     pub(super) fn replace_all(&mut self, records: Vec<Value>) {
         let changed_in = self.history.versions.len();
         let with_uid = |record: Value| (record["uid"].as_str().unwrap_or_default().to_owned(), record);
@@ -85,13 +85,13 @@
         self.history.versions.push(ListVersion { made_at: Instant::now(), in_service });
     }
 
-    /// Counts revisions from this one on, as a service that has lost its state.
+    /// Restarts the service, which has lost its state: the present list has this revision.
     pub(super) fn restart_at_revision(&mut self, revision: u64) {
         self.oldest = (revision, self.latest_version());
         self.break_open_calls();
     }
 
-    /// Begins a behavior, and ends the open calls that it ends.
+    /// Begins a behavior. Ends or silences the open calls accordingly.
     pub(super) fn set_behavior(&mut self, behavior: DiscoveryBehavior) {
         self.behavior = behavior;
         self.history.periods.push(BehaviorPeriod { behavior, began_at: Instant::now() });
@@ -108,7 +108,7 @@
         self.open_calls().for_each(|call| call.end = Some(end));
     }
 
-    /// Leaves the calls that are open now without an answer.
+    /// Never answers the calls that are open now.
     pub(super) fn silence_open_calls(&mut self) {
         let now = Instant::now();
         self.open_calls().for_each(|call| call.silent_since = Some(now));
@@ -118,7 +118,7 @@
         self.history.calls.iter_mut().filter(|call| call.end.is_none())
     }
 
-    /// Whether a call goes on with a watch of its caller.
+    /// Whether a call continues a watch of its caller.
     pub(super) fn continues_watch(&self, index: usize) -> bool {
         let call = &self.history.calls[index];
         let is_answered_watch = |earlier: &DiscoveryCall| {
@@ -129,13 +129,13 @@
         matches!(call.query, DiscoveryQuery::Watch { .. }) && earlier.any(is_answered_watch)
     }
 
-    /// Ends the open calls of a caller by 503.
+    /// Rejects the open calls of a caller with 503.
     pub(super) fn reject_open_calls(&mut self, caller: usize) {
         let end = CallEnd { at: Instant::now(), outcome: CallOutcome::Rejected };
         self.open_calls().filter(|call| call.caller == caller).for_each(|call| call.end = Some(end));
     }
 
-    /// Records the messages of a request with notices, which has one object a line.
+    /// Records the messages of a request with notices, which has one JSON object per line.
     pub(super) fn record_notices(&mut self, body: &str) {
         let notices = body.lines().filter_map(|line| serde_json::from_str::<Value>(line).ok());
         self.noticed_messages
@@ -157,12 +157,12 @@
         self.history.calls.len() - 1
     }
 
-    /// Spoils the next answer to a caller.
+    /// Sets the fault of the next answer to a caller.
     pub(super) fn set_answer_fault(&mut self, caller: usize, fault: AnswerFault) {
         self.faults.insert(caller, fault);
     }
 
-    /// What happens to the answer that is due to a caller now. It happens once.
+    /// Removes and returns the fault of the next answer to a caller.
     pub(super) fn take_fault(&mut self, caller: usize) -> Option<AnswerFault> {
         self.faults.remove(&caller)
     }
@@ -177,12 +177,12 @@
         self.history.calls[index].end.get_or_insert(CallEnd { at: Instant::now(), outcome });
     }
 
-    /// Whether the list contains something newer than this revision, or is older than it.
+    /// Whether the present list has another revision, which is newer or, after a restart, older.
     pub(super) fn differs_from(&self, revision: u64) -> bool {
         revision != self.revision()
     }
 
-    /// The answer with the present list.
+    /// The answer that reports the present list.
     pub(super) fn answer(&self, query: DiscoveryQuery) -> ListAnswer {
         let version = self.latest_version();
         let after_version = match query {
@@ -205,7 +205,7 @@
     /// The index of the version that a caller with this revision has; `None` if it needs the complete list.
     fn version_of(&self, revision: u64) -> Option<usize> {
         let (oldest_revision, oldest_version) = self.oldest;
-        // A caller that is ahead of the service gets no changes.
+        // A caller whose revision is newer, because the service has restarted, receives no changes.
         let revision = revision.min(self.revision());
         let version = oldest_version + usize::try_from(revision.checked_sub(oldest_revision)?).ok()?;
         (version >= self.replaced_in).then_some(version)
--- a/tests/support/discovery_stub.rs
+++ b/tests/support/discovery_stub.rs
@@ -1,4 +1,4 @@
-//! The discovery service, which also receives the notices.
+//! A stand-in for the platform: the discovery service and the receiver of notices.
 
 use super::EVENT_TIMEOUT;
 use super::endpoint_stub::{EndpointStub, ReceivedCall};
@@ -8,8 +8,8 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// A discovery service that holds each watch until the test pushes a list, and passes notices to the test. A call that asks
-/// for changes without waiting is told at once that there are none.
+/// A discovery service that holds each watch until the test pushes a list, and passes notices to the test. It
+/// responds at once that there are no changes to a call that requests changes without waiting.
 pub(crate) struct DiscoveryStub {
     pub address: SocketAddr,
     lists: mpsc::UnboundedSender<Value>,
@@ -26,12 +26,12 @@
         DiscoveryStub { address, lists, notice_calls }
     }
 
-    /// Responds to the present watch, or else the next one, with changed records.
+    /// Responds to the open watch, or else the next one, with changed records.
     pub(crate) fn push_changes(&self, revision: u64, endpoints: Vec<Value>) {
         self.push(revision, false, endpoints);
     }
 
-    /// Responds to the present watch, or else the next one, with the complete list.
+    /// Responds to the open watch, or else the next one, with the complete list.
     pub(crate) fn push_complete_list(&self, revision: u64, endpoints: Vec<Value>) {
         self.push(revision, true, endpoints);
     }
@@ -58,7 +58,7 @@
         lines.map(|line| serde_json::from_slice(line).expect("each line is a JSON object")).collect()
     }
 
-    /// Waits for the next batch of notices, which must contain one only, acknowledges it and returns the notice.
+    /// Waits for the next batch, which must contain one notice only, acknowledges it and returns the notice.
     pub(crate) async fn notice(&mut self) -> Value {
         let mut notices = self.notices().await;
         assert_eq!(notices.len(), 1, "{notices:?}");
@@ -76,7 +76,7 @@
     mut lists: mpsc::UnboundedReceiver<Value>,
     notice_calls: mpsc::UnboundedSender<ReceivedCall>,
 ) {
-    // The watch that waits for a list, and the list that waits for a watch.
+    // The open watch, and the list that no watch has received yet.
     let mut watch: Option<ReceivedCall> = None;
     let mut list: Option<Value> = None;
     loop {
@@ -100,12 +100,12 @@
     }
 }
 
-/// The revision of a call that asks for the changes since then and does not wait for any.
+/// The revision of a call that requests the changes since that revision without waiting.
 fn revision_without_wait(path: &str) -> Option<u64> {
     path.strip_prefix("/api/targets?index=")?.strip_suffix("&wait=0")?.parse().ok()
 }
 
-/// An endpoint list, as discovery sends it.
+/// An endpoint list in the format of the discovery service.
 pub(crate) fn endpoint_list(revision: u64, complete: bool, endpoints: Vec<Value>) -> Value {
     json!({"rev": revision, "all": complete, "targets": endpoints})
 }
@@ -116,7 +116,7 @@
            "state": state, "capacity_hint": 50.0, "boot_ms": 0})
 }
 
-/// A record of an endpoint in service whose calls carry one message each.
+/// A record of an endpoint in service that receives one message per call.
 pub(crate) fn plain_endpoint(uid: &str, address: SocketAddr, destination: u64) -> Value {
     endpoint(uid, address, destination, "plain", "in_service")
 }
--- a/tests/support/scripted_discovery.rs
+++ b/tests/support/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery service whose list and faults the test changes at any time.
+//! A discovery service whose list and behavior the test can change at any time.
 
 use super::discovery_connection::serve_connection;
 use super::discovery_history::{AnswerFault, DiscoveryBehavior, DiscoveryHistory};
@@ -16,25 +16,26 @@
 use tokio::task::AbortHandle;
 use tokio::time::{sleep, timeout};
 
-/// How many connections may wait at the listener.
+/// The maximum number of connections in the queue of the listener.
 const LISTEN_BACKLOG: u32 = 128;
-/// A connection attempt that takes longer than this is taken for one that the full queue does not admit.
+/// If a connection attempt takes longer than this, the queue of the listener counts as full.
 const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(100);
-/// How long the service leaves open connections alone after it has moved to another address.
+/// How long connections to the old address stay open after the service has moved to another one.
 const OLD_ADDRESS_LINGER: Duration = Duration::from_millis(1500);
 
-/// What the tasks of a service share.
+/// The state that the tasks of a service share.
 pub(super) struct SharedDiscovery {
     state: Mutex<DiscoveryState>,
     /// Counts the changes of the state.
     changes: watch::Sender<u64>,
     /// Counts how often all connections were reset.
     pub(super) resets: watch::Sender<u64>,
-    /// The turn to be served, where calls are served one by one.
+    /// Locked while a call is served or accepted, by behaviors that do so one by one.
     pub(super) turn: tokio::sync::Mutex<()>,
-    /// The calls that wait for their turn or are taken up now, where the service has a queue.
+    /// The number of calls that wait to be accepted or are being accepted in
+    /// [`DiscoveryBehavior::OverloadedQueue`].
     pub(super) queue_length: AtomicU32,
-    /// How long bytes take from the service to a caller and back, in milliseconds.
+    /// How long bytes take in one direction between the service and its callers, in milliseconds.
     latency_ms: AtomicU64,
 }
 
@@ -47,17 +48,17 @@
         self.lock().behavior
     }
 
-    /// A receiver of the changes from now on.
+    /// Returns a receiver of the changes from now on.
     pub(super) fn subscribe(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
     }
 
-    /// How long bytes take in one direction.
+    /// How long bytes take in one direction between the service and its callers.
     pub(super) fn latency(&self) -> Duration {
         Duration::from_millis(self.latency_ms.load(Ordering::Relaxed))
     }
 
-    /// Ends all open calls of a caller by 503.
+    /// Rejects all open calls of a caller with 503.
     pub(super) fn reject_open_calls(&self, caller: usize) {
         self.lock().reject_open_calls(caller);
         self.notify();
@@ -73,35 +74,35 @@
     /// The address of the first caller.
     pub address: SocketAddr,
     shared: Arc<SharedDiscovery>,
-    /// The address of each caller.
+    /// The address for each caller, by its number.
     listening: Vec<ListeningAddress>,
 }
 
 /// An address of the service, with the task that accepts connections there.
 struct ListeningAddress {
     address: SocketAddr,
-    /// Keeps the port while nothing listens.
+    /// Reserves the port while nothing listens.
     _reserved_port: TcpSocket,
     accept_task: AbortHandle,
-    /// Set once the connections to this address have to end.
+    /// Set to true once the connections to this address have to be closed.
     closing: watch::Sender<bool>,
 }
 
 impl ListeningAddress {
-    /// Listens on a free port, which is used by one caller only.
+    /// Listens on a free port for this caller.
     fn start(shared: &Arc<SharedDiscovery>, caller: usize) -> Self {
         let any_port = "127.0.0.1:0".parse().expect("an address");
         let reserved_port = bind(any_port).expect("a free port");
         let address = reserved_port.local_addr().expect("it is bound");
         let closing = watch::channel(false).0;
         let acceptor = Acceptor { address, caller, shared: shared.clone(), closing: closing.subscribe() };
-        // The first caller may come before the task runs.
+        // A caller may connect before the task runs.
         let listener = (!shared.behavior().hides_calls()).then(|| listen(address, LISTEN_BACKLOG));
         let task = tokio::spawn(acceptor.run(listener));
         ListeningAddress { address, _reserved_port: reserved_port, accept_task: task.abort_handle(), closing }
     }
 
-    /// Accepts no further connection, and closes the present ones after a while.
+    /// Accepts no further connection, and closes the open ones after `OLD_ADDRESS_LINGER`.
     fn close(self) {
         self.accept_task.abort();
         tokio::spawn(async move {
@@ -126,7 +127,7 @@
         ScriptedDiscovery { address: listening.address, shared, listening: vec![listening] }
     }
 
-    /// Listens on another address, for a caller whose calls can be told from those of the others by that.
+    /// Listens on another address, by which the calls of another caller are identified. Returns the address.
     pub(crate) fn add_caller(&mut self) -> SocketAddr {
         let listening = ListeningAddress::start(&self.shared, self.listening.len());
         let address = listening.address;
@@ -146,7 +147,7 @@
         self.shared.notify();
     }
 
-    /// Replaces the list. Watches get the complete list.
+    /// Replaces the list. Watches receive the complete list.
     pub(crate) fn replace_all(&self, records: Vec<Value>) {
         self.shared.lock().replace_all(records);
         self.shared.notify();
@@ -166,18 +167,18 @@
         self.shared.notify();
     }
 
-    /// Spoils the next answer to a caller.
+    /// Sets the fault of the next answer to a caller.
     pub(crate) fn set_answer_fault(&self, caller: usize, fault: AnswerFault) {
         self.shared.lock().set_answer_fault(caller, fault);
     }
 
-    /// Leaves the calls that are open now without an answer. Later calls are answered.
+    /// Never answers the calls that are open now. Later calls are answered.
     pub(crate) fn silence_open_watches(&self) {
         self.shared.lock().silence_open_calls();
         self.shared.notify();
     }
 
-    /// Resets all connections and counts revisions from this one on.
+    /// Resets all connections and gives the present list this revision, as a restart without state does.
     pub(crate) fn restart_at_revision(&self, revision: u64) {
         self.shared.lock().restart_at_revision(revision);
         self.reset_connections();
@@ -188,13 +189,13 @@
         self.shared.resets.send_modify(|count| *count += 1);
     }
 
-    /// Moves the service to another address for the first caller. The old address takes no new connection, and closes
-    /// its connections soon.
+    /// Moves the service to another address for the first caller. The old address accepts no new connection,
+    /// and its open connections are closed soon.
     pub(crate) fn move_to_new_address(&mut self) {
         self.address = self.move_caller(0);
     }
 
-    /// The same for another caller. Returns the new address.
+    /// Like [`Self::move_to_new_address`], for this caller. Returns the new address.
     pub(crate) fn move_caller(&mut self, caller: usize) -> SocketAddr {
         let new = ListeningAddress::start(&self.shared, caller);
         let address = new.address;
@@ -202,17 +203,17 @@
         address
     }
 
-    /// The ids of the messages that forwarders gave notice of.
+    /// The ids of the messages in the notices of forwarders.
     pub(crate) fn noticed_messages(&self) -> BTreeSet<String> {
         self.shared.lock().noticed_messages.clone()
     }
 
-    /// What the service did so far.
+    /// The history of the service so far.
     pub(crate) fn history(&self) -> DiscoveryHistory {
         self.shared.lock().history.clone()
     }
 
-    /// What the service did so far, with the calls of one caller only.
+    /// The history of the service so far, with the calls of one caller only.
     pub(crate) fn history_of(&self, caller: usize) -> DiscoveryHistory {
         let mut history = self.history();
         history.calls.retain(|call| call.caller == caller);
@@ -229,7 +230,7 @@
         timeout(EVENT_TIMEOUT, satisfied).await.expect("the forwarder calls in time");
     }
 
-    /// Waits until the forwarder has got a list or has an open watch.
+    /// Waits until the forwarder has received a list or has an open call.
     pub(crate) async fn until_followed(&self) {
         self.until(|history| history.calls.iter().any(|call| !call.has_failed())).await;
     }
@@ -243,7 +244,7 @@
         .await;
     }
 
-    /// Waits until the forwarder has an open watch.
+    /// Waits until the last call of the forwarder is open.
     pub(crate) async fn until_watched(&self) {
         self.until(|history| history.calls.last().is_some_and(|call| call.end.is_none())).await;
     }
@@ -276,7 +277,7 @@
 }
 
 impl Acceptor {
-    /// Accepts connections while the behavior allows it, at first from this listener.
+    /// Accepts connections while the behavior allows it. Uses `first_listener` first.
     async fn run(self, mut first_listener: Option<TcpListener>) {
         let mut changes = self.shared.subscribe();
         loop {
