--- a/tests/support/drain_fleet.rs
+++ b/tests/support/drain_fleet.rs
@@ -13,9 +13,9 @@
 use std::time::Instant;
 use tokio::task::JoinSet;
 
-/// A forwarder of a fleet. Its messages are told from those of others by the name in their ids.
+/// A forwarder of a fleet. The ids of its messages start with its name.
 struct FleetMember {
-    /// Its number among the callers of the service.
+    /// The number of the forwarder among the callers of the service.
     caller: usize,
     name: String,
     timeline: ForwarderTimeline,
@@ -23,7 +23,7 @@
     _traffic: SteadyTraffic,
 }
 
-/// The forwarders and what they share.
+/// The forwarders, with the discovery service and the endpoints that they share.
 pub(crate) struct DrainFleet {
     pub discovery: ScriptedDiscovery,
     /// The endpoint `draining`.
@@ -35,7 +35,7 @@
 }
 
 impl DrainFleet {
-    /// Starts so many forwarders.
+    /// Starts this number of forwarders.
     pub(crate) async fn start(mode: DiscoveryMode, sender_count: usize) -> Self {
         let (draining, staying) = (FirstByteEndpoint::start().await, FirstByteEndpoint::start().await);
         let records = vec![
@@ -60,13 +60,13 @@
         self.discovery.change(endpoint("draining", address, DESTINATION, "plain", "terminating"));
     }
 
-    /// Lists another endpoint, at an address where nothing listens, for a destination without messages.
+    /// Lists another endpoint, for a destination without messages and at an address where nothing listens.
     pub(crate) fn add_endpoint(&self) {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 9));
         self.discovery.change(endpoint("added", nowhere, DESTINATION + 1, "plain", "in_service"));
     }
 
-    /// Waits until each forwarder has got a list or has an open watch.
+    /// Waits until each forwarder has received a list or has an open call.
     pub(crate) async fn until_followed(&self) {
         let callers = 0..self.members.len();
         self.discovery
@@ -78,7 +78,7 @@
             .await;
     }
 
-    /// The requests that were routed too late so far.
+    /// The violations of the drain rule so far.
     pub(crate) fn violations(&self) -> Vec<DrainViolation> {
         let first_bytes = [self.draining.first_bytes(), self.staying.first_bytes()].concat();
         let violations = self.members.iter().flat_map(|member| {
--- a/tests/support/drain_scenario.rs
+++ b/tests/support/drain_scenario.rs
@@ -1,4 +1,4 @@
-//! The set-up of the tests of drains: a forwarder under steady traffic for two endpoints, one of which drains.
+//! The scenario of the drain tests: a forwarder under steady traffic to two endpoints, one of which drains.
 
 use super::discovery_history::DiscoveryBehavior;
 use super::discovery_stub::endpoint;
@@ -18,13 +18,13 @@
 
 /// The destination of all messages.
 pub(crate) const DESTINATION: u64 = 7;
-/// How long the forwarder may send to an endpoint after it was told that the endpoint drains.
+/// The grace period: how long requests to an endpoint may start after its drain counts as sent.
 const STOP_SENDING_WITHIN: Duration = Duration::from_millis(500);
-/// How old the list may be where discovery is asked.
+/// The maximum age of the list of a forwarder that calls the discovery service itself.
 const ASK_WITHIN: Duration = Duration::from_secs(10);
-/// Longer than any rule lets a forwarder go on once the service can be reached.
+/// Longer than any rule allows calls to a drained endpoint once the service can be reached.
 pub(crate) const LONGEST_DELAY: Duration = Duration::from_millis(7500);
-/// Longer than any rule lets a forwarder go on at a service that is slow or crowded.
+/// Longer than any rule allows calls to a drained endpoint while the service is slow or overloaded.
 pub(crate) const LONGEST_SLOW_DELAY: Duration = Duration::from_secs(12);
 
 /// How a forwarder is ended.
@@ -36,7 +36,7 @@
     Terminated,
 }
 
-/// A forwarder that gets steady traffic, and all that it talks to.
+/// A forwarder under steady traffic, with its discovery service and endpoints.
 pub(crate) struct DrainScenario {
     pub discovery: ScriptedDiscovery,
     /// The endpoint `draining`.
@@ -51,12 +51,12 @@
 }
 
 impl DrainScenario {
-    /// Starts with this number of senders, and waits until the endpoint that will drain gets messages.
+    /// Starts with this number of senders, and waits until the endpoint that will drain is called.
     pub(crate) async fn start(mode: DiscoveryMode, sender_count: u64) -> Self {
         DrainScenario::start_with(mode, sender_count, "plain", |_| {}).await
     }
 
-    /// Starts with endpoints of this kind and a configuration that `change` may edit.
+    /// Starts with endpoints of this kind and with a configuration that `change` may edit.
     pub(crate) async fn start_with(
         mode: DiscoveryMode,
         sender_count: u64,
@@ -70,8 +70,8 @@
         scenario
     }
 
-    /// Starts at a service that behaves in this way from the beginning, and waits until the endpoint that will drain gets
-    /// messages.
+    /// Starts with a service that has this behavior from the beginning, and waits until the endpoint that
+    /// will drain is called.
     pub(crate) async fn start_at(
         behavior: DiscoveryBehavior,
         mode: DiscoveryMode,
@@ -84,7 +84,7 @@
         scenario
     }
 
-    /// Starts with these endpoints: the one that will drain, and the one that will not.
+    /// Starts with these endpoints: the one that will drain and the one that will stay.
     pub(crate) async fn start_between(
         mode: DiscoveryMode,
         sender_count: u64,
@@ -140,7 +140,7 @@
         timeout(EVENT_TIMEOUT, called).await.expect("the endpoint is called");
     }
 
-    /// The record of the endpoint that drains, in a state.
+    /// The record of the endpoint that drains, in this state.
     pub(crate) fn draining_record(&self, state: &str) -> Value {
         endpoint("draining", self.draining.address, DESTINATION, &self.kind, state)
     }
@@ -155,14 +155,14 @@
         self.discovery.change(self.draining_record("terminating"));
     }
 
-    /// Has the service behave in this way for some time, and be healthy after that.
+    /// Sets this behavior of the service, and makes the service healthy again after `duration`.
     pub(crate) async fn outage(&self, behavior: DiscoveryBehavior, duration: Duration) {
         self.discovery.set_behavior(behavior);
         sleep(duration).await;
         self.discovery.set_behavior(DiscoveryBehavior::Healthy);
     }
 
-    /// Ends the forwarder.
+    /// Ends the forwarder in this way.
     pub(crate) async fn end_forwarder(&mut self, end: ForwarderEnd) {
         match end {
             ForwarderEnd::Killed => self.forwarder.kill(),
@@ -187,13 +187,13 @@
         predecessor
     }
 
-    /// Moves discovery to another address and has the forwarder use that.
+    /// Moves discovery to another address, and configures the forwarder to use it.
     pub(crate) fn move_discovery(&mut self) {
         self.discovery.move_to_new_address();
         self.reload(self.discovery.address);
     }
 
-    /// Has the forwarder use discovery at this address.
+    /// Configures the forwarder to use discovery at this address, by SIGHUP.
     pub(crate) fn reload(&mut self, address: SocketAddr) {
         self.timeline.reloads.push(Instant::now());
         self.forwarder.reload(|configuration| configuration["discovery"] = json!(address.to_string()));
@@ -204,7 +204,7 @@
         [self.draining.first_bytes(), self.staying.first_bytes()].concat()
     }
 
-    /// Whether messages were sent to an endpoint in each second of a time.
+    /// Asserts that a request was sent to an endpoint in each full second between these instants.
     pub(crate) fn assert_served(&self, from: Instant, until: Instant) {
         let mut second = from;
         while second + Duration::from_secs(1) <= until {
@@ -215,22 +215,22 @@
         }
     }
 
-    /// The requests that were routed too late so far.
+    /// The violations of the drain rule so far.
     pub(crate) fn violations(&self) -> Vec<DrainViolation> {
         let history = self.discovery.history();
         check_drains(self.settings, DESTINATION, &history, &self.timeline, &self.first_bytes())
     }
 
-    /// Goes on for some time, and requires that no request was routed too late and that the endpoint that
-    /// stays is still used.
+    /// Lets the scenario continue for `duration`, and asserts that it kept the drain rule and that the
+    /// endpoint that stays was still called.
     pub(crate) async fn finish_after(self, duration: Duration) {
         let began_at = Instant::now();
         sleep(duration).await;
         assert_eq!(self.problem(began_at), None);
     }
 
-    /// What is wrong: a request that was routed too late, or that the endpoint that stays has got no message since an
-    /// instant.
+    /// Describes what is wrong: violations of the drain rule, or that the endpoint that stays was not called
+    /// since this instant.
     fn problem(&self, since: Instant) -> Option<String> {
         let violations = self.violations();
         let last = self.staying.first_bytes().last().map(|first_byte| first_byte.at);
@@ -244,9 +244,9 @@
     }
 }
 
-/// Plays all cases beside each other, lets each go on for some time, and requires that none of them has a request that
-/// was routed too late, and that the endpoint that stays is still used.
-pub(crate) async fn run_cases<C, F>(cases: Vec<C>, then: Duration, play: fn(C) -> F)
+/// Runs all cases concurrently and lets each continue for `then`. Asserts that each kept the drain rule, and
+/// that the endpoint that stays was still called.
+pub(crate) async fn run_cases<C, F>(cases: Vec<C>, then: Duration, run_case: fn(C) -> F)
 where
     C: Copy + fmt::Debug + Send + 'static,
     F: Future<Output = DrainScenario> + Send + 'static,
@@ -254,7 +254,7 @@
     let mut runs = JoinSet::new();
     for case in cases {
         runs.spawn(async move {
-            let scenario = play(case).await;
+            let scenario = run_case(case).await;
             let began_at = Instant::now();
             sleep(then).await;
             scenario.problem(began_at).map(|problem| format!("{case:?}: {problem}"))
@@ -264,20 +264,20 @@
     assert!(problems.is_empty(), "{} cases:\n{}", problems.len(), problems.join("\n"));
 }
 
-/// The record of the endpoint that stays. It is in another zone than the forwarder, which thus prefers the other one
-/// while that is in service.
+/// The record of the endpoint that stays. It is in another zone than the forwarder, so the forwarder prefers
+/// the endpoint that drains while that one is in service.
 pub(super) fn staying_record(staying: &FirstByteEndpoint, kind: &str) -> Value {
     let mut record = endpoint("staying", staying.address, DESTINATION, kind, "in_service");
     record["az"] = json!("b");
     record
 }
 
-/// The figures that the forwarders of these tests are configured with.
+/// The settings of the forwarders in the drain tests.
 pub(crate) fn drain_settings(mode: DiscoveryMode) -> DrainSettings {
     DrainSettings { mode, stop_sending_within: STOP_SENDING_WITHIN, ask_within: ASK_WITHIN }
 }
 
-/// Sets how the list is got, by how many senders, and the figures that go with it.
+/// Configures how the forwarder gets the list, the number of senders and the time limits of the drain rule.
 pub(crate) fn set_discovery(configuration: &mut Value, mode: DiscoveryMode, sender_count: u64) {
     let settings = &mut configuration["settings"];
     settings["discovery"] = json!(match mode {
