--- a/tests/support/endpoint_stub.rs
+++ b/tests/support/endpoint_stub.rs
@@ -1,4 +1,4 @@
-//! An HTTP endpoint whose responses the test gives.
+//! An HTTP endpoint whose calls the test receives and responds to.
 
 use super::EVENT_TIMEOUT;
 use bytes::Bytes;
--- a/tests/support/first_byte_endpoint.rs
+++ b/tests/support/first_byte_endpoint.rs
@@ -1,4 +1,4 @@
-//! An endpoint that records when the first byte of each request arrived.
+//! An endpoint that records when the first byte of each request arrived and how the call ended.
 
 use super::raw_connection::FullListener;
 use serde_json::{Value, json};
@@ -12,7 +12,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-/// How long a call takes. It is long enough that calls overlap under steady traffic, so that all endpoints are used.
+/// How long a call takes. Calls overlap under steady traffic, so that all endpoints are called.
 const SERVICE_TIME: Duration = Duration::from_millis(60);
 
 /// What an endpoint does with a request.
@@ -27,12 +27,12 @@
     Hang,
 }
 
-/// The first byte of a request.
+/// The first byte of a request, with the ids of its messages and the end of the call.
 #[derive(Clone, Debug)]
 pub(crate) struct FirstByte {
     pub endpoint: SocketAddr,
     pub at: Instant,
-    /// The ids of the messages; empty until the request was complete.
+    /// The ids of the messages; empty until the request is complete.
     pub request_ids: Vec<String>,
     /// How the call ended, and when; `None` while it is open.
     pub end: Option<(Instant, CallResult)>,
@@ -57,7 +57,7 @@
 struct Shared {
     address: SocketAddr,
     state: Mutex<State>,
-    /// Counts how often all connections were closed.
+    /// How often all connections were closed.
     closings: watch::Sender<u64>,
 }
 
@@ -87,7 +87,7 @@
     pub address: SocketAddr,
     shared: Arc<Shared>,
     accept_task: Option<AbortHandle>,
-    /// The listener while no connection comes up.
+    /// The listener while no connection can be established.
     full_listener: Option<FullListener>,
 }
 
@@ -100,7 +100,7 @@
         endpoint
     }
 
-    /// Starts an endpoint to which no connection comes up until [`Self::open`].
+    /// Starts an endpoint to which no connection is established until [`Self::open`].
     pub(crate) async fn start_full() -> Self {
         let listener = FullListener::start().await;
         FirstByteEndpoint::new(listener.address, Some(listener))
@@ -122,7 +122,7 @@
         self.accept_task = Some(task.abort_handle());
     }
 
-    /// Lets connections come up from now on.
+    /// Lets connections be established from now on.
     pub(crate) async fn open(&mut self) {
         let full = self.full_listener.take().expect("it is full");
         full.accept_queued().await;
--- a/tests/support/raw_connection.rs
+++ b/tests/support/raw_connection.rs
@@ -10,7 +10,7 @@
 
 /// A complete response of an endpoint that delivers a message.
 pub(crate) const OK_RESPONSE: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-/// A connection attempt that takes longer than this is taken for one that the full queue of a listener does not admit.
+/// If a connection attempt takes longer than this, the queue of the listener counts as full.
 const FULL_QUEUE_TIMEOUT: Duration = Duration::from_millis(150);
 
 /// An endpoint whose responses the test writes byte for byte.
@@ -38,7 +38,7 @@
     pub stream: TcpStream,
 }
 
-/// What arrived on a connection until it ended.
+/// The bytes that arrived on a connection until it ended.
 #[derive(Debug)]
 pub(crate) struct ReadToEnd {
     pub text: String,
--- a/tests/support/steady_traffic.rs
+++ b/tests/support/steady_traffic.rs
@@ -10,7 +10,7 @@
 const MESSAGE_INTERVAL: Duration = Duration::from_millis(20);
 /// How long a client waits for the response.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a message may still be delivered.
+/// The deadline of each message.
 const MESSAGE_DEADLINE_MS: u64 = 20_000;
 
 /// Messages of the class `keyed` for one destination, 50 a second, until this is dropped.
@@ -19,9 +19,7 @@
 }
 
 impl SteadyTraffic {
-    /// Starts to submit messages to the forwarder at this address.
-    ///
-    /// The ids of the messages are `name`, a hyphen and a number.
+    /// Starts to submit messages to the forwarder at this address, with the ids `name-0`, `name-1` and so on.
     pub(crate) fn start(forwarder: SocketAddr, destination: u64, name: &str) -> Self {
         let task = tokio::spawn(submit_steadily(forwarder, destination, name.to_owned()));
         SteadyTraffic { task: task.abort_handle() }
@@ -40,7 +38,7 @@
     for number in 0.. {
         ticks.tick().await;
         let id = format!("{name}-{number}");
-        // A refused message is not submitted again: others follow.
+        // A rejected message is not submitted again, because others follow.
         tokio::spawn(async move { timeout(CLIENT_TIMEOUT, submit_once(forwarder, destination, &id)).await });
     }
 }
