--- a/tests/support/fixture.rs
+++ b/tests/support/fixture.rs
@@ -27,7 +27,7 @@
         Fixture { discovery, endpoint: stub, forwarder }
     }
 
-    /// Starts with a forwarder whose files can be limited.
+    /// Starts with a forwarder whose file size can be limited.
     pub(crate) async fn start_with_file_limit(change: impl FnOnce(&mut Value)) -> Self {
         let (discovery, stub) = (DiscoveryStub::start().await, EndpointStub::start().await);
         let known_endpoints = [plain_endpoint("t", stub.address, 7)];
@@ -43,8 +43,8 @@
         self.forwarder.until_delivered(class, id).await;
     }
 
-    /// Submits a message and responds to its call. A turn has just ended then, so that messages which are submitted
-    /// together immediately after that fall into one turn.
+    /// Submits a message and responds to its call. A turn has just ended then, so messages that are submitted
+    /// together immediately afterwards are handled in one turn.
     pub(crate) async fn begin_turn(&mut self) {
         self.forwarder.submit("unsafe", "first", 9000).await;
         self.endpoint.next_call().await.respond(200);
--- a/tests/support/forwarder_config.rs
+++ b/tests/support/forwarder_config.rs
@@ -41,7 +41,7 @@
     configuration["settings"]["round"] = json!(milliseconds);
 }
 
-/// Sets the latency objective of both classes. Attempts time out later if it is longer.
+/// Sets the latency objective of both classes. A longer objective makes attempts time out later.
 pub(crate) fn latency_objective(configuration: &mut Value, milliseconds: f64) {
     for class in [0, 1] {
         configuration["settings"]["classes"][class]["goalTime"] = json!(milliseconds);
@@ -53,7 +53,7 @@
     configuration["settings"]["familyInfo"]["slots"] = json!(1);
 }
 
-/// Makes turns so long that messages which are submitted together fall into one turn and travel in one call.
+/// Makes turns so long that messages submitted together are handled in one turn and sent in one call.
 pub(crate) fn long_turns(configuration: &mut Value) {
     turn_interval(configuration, 400.0);
 }
--- a/tests/support/forwarder_process.rs
+++ b/tests/support/forwarder_process.rs
@@ -1,4 +1,4 @@
-//! The forwarder program, as a process of its own.
+//! Runs the forwarder program as a separate process.
 
 use super::forwarder_config::configuration;
 use super::http_client::{request, submit};
@@ -20,7 +20,7 @@
 /// The number of forwarders that this test program has started.
 static STARTED: AtomicUsize = AtomicUsize::new(0);
 
-/// A forwarder process with a directory of its own. When it is dropped, the process is killed and the directory removed.
+/// A forwarder process with a directory of its own. Dropping it kills the process and removes the directory.
 pub(crate) struct ForwarderProcess {
     /// Where clients connect.
     pub address: SocketAddr,
@@ -37,13 +37,13 @@
 /// What a forwarder is started with.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct StartOptions {
-    /// It inherits its listening socket, and so do its successors.
+    /// Whether the process and its successors inherit the listening socket.
     pub inherits_listener: bool,
-    /// [`ForwarderProcess::limit_files`] may be used. The program writes no log then.
+    /// Whether [`ForwarderProcess::limit_files`] may be used. The program writes no log then.
     pub has_file_limit: bool,
 }
 
-/// What the wall clock was set by, relative to the stored timeline.
+/// The direction in which the wall clock is stepped, relative to the stored timeline.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum ClockStep {
     Forward,
@@ -54,8 +54,8 @@
 pub(crate) const CLOCK_STEP_MS: i64 = 3_600_000;
 
 impl ForwarderProcess {
-    /// Starts a forwarder with discovery at this address and with a configuration that `change` may edit, and waits until
-    /// it is ready.
+    /// Starts a forwarder with discovery at this address and with a configuration that `change` may edit, and
+    /// waits until it is ready.
     pub(crate) async fn start(
         discovery: SocketAddr,
         known_endpoints: &[Value],
@@ -64,8 +64,8 @@
         ForwarderProcess::start_with(discovery, known_endpoints, change, StartOptions::default()).await
     }
 
-    /// Like [`Self::start`], for tests that use [`Self::limit_files`]. The program writes no log, whose file the limit
-    /// would concern too.
+    /// Like [`Self::start`], for tests that use [`Self::limit_files`]. The program writes no log, because the
+    /// limit would apply to the log file too.
     pub(crate) async fn start_with_file_limit(
         discovery: SocketAddr,
         known_endpoints: &[Value],
@@ -109,7 +109,7 @@
         forwarder
     }
 
-    /// Waits until it responds to a readiness check that it is ready.
+    /// Waits until a readiness check succeeds.
     pub(crate) async fn wait_until_ready(&self) {
         let ready = async {
             while !self.responds_ready().await {
@@ -119,7 +119,7 @@
         timeout(EVENT_TIMEOUT, ready).await.expect("the forwarder becomes ready");
     }
 
-    /// Whether it responds to a readiness check that it is ready.
+    /// Whether a readiness check succeeds.
     pub(crate) async fn responds_ready(&self) -> bool {
         self.readiness_response().await.is_some_and(|response| response.status() == 200)
     }
@@ -129,13 +129,13 @@
         request(self.address, "GET", "/-/ready", &[], b"").await
     }
 
-    /// Starts it again after it has ended.
+    /// Starts the program again after the process has ended, and waits until it is ready.
     pub(crate) async fn restart(&mut self) {
         self.begin_restart();
         self.wait_until_ready().await;
     }
 
-    /// Starts it again after it has ended, with a log that nobody reads: each write to it fails with `EPIPE`.
+    /// Like [`Self::restart`], with a log that nobody reads: each write to it fails with `EPIPE`.
     pub(crate) async fn restart_with_broken_log(&mut self) {
         let listener = self.listener.as_ref();
         self.process = spawn(&self.directory, listener, None, self.has_file_limit, Stdio::piped());
@@ -143,13 +143,13 @@
         self.wait_until_ready().await;
     }
 
-    /// Starts it again after it has ended, and does not wait until it is ready.
+    /// Like [`Self::restart`], without waiting until the program is ready.
     pub(crate) fn begin_restart(&mut self) {
         let listener = self.listener.as_ref();
         self.process = spawn(&self.directory, listener, None, self.has_file_limit, Stdio::inherit());
     }
 
-    /// Waits until operators are answered that it is not ready yet.
+    /// Waits until the process replies to operators, and asserts that it is not ready yet.
     pub(crate) async fn wait_until_starting(&mut self) {
         let starting = async {
             while TcpStream::connect(self.admin_address).await.is_err() {
@@ -162,7 +162,7 @@
         assert!(self.admin_command("ready").await.starts_with("NAK"));
     }
 
-    /// Lets every write fail that would make a file longer than this; `None` ends the limit.
+    /// Makes every write fail that would extend a file beyond this size; `None` ends the limit.
     pub(crate) fn limit_files(&self, bytes: Option<u64>) {
         assert!(self.has_file_limit, "the signal of the limit would end the program");
         let limit = bytes.map_or("unlimited".to_owned(), |bytes| bytes.to_string());
@@ -170,13 +170,14 @@
         run(Command::new("prlimit").args(["--pid", &pid, &format!("--fsize={limit}:unlimited")]));
     }
 
-    /// Lets every write to the journal fail until the limit ends.
+    /// Makes every write to the journal fail until the limit ends.
     pub(crate) fn fail_journal_writes(&self) {
         let length = fs::metadata(self.journal_file()).expect("the journal is there").len();
         self.limit_files(Some(length));
     }
 
-    /// Starts a successor beside this process, and waits until it reports that it is ready.
+    /// Starts a successor beside this process, waits until the successor reports that it is ready, and
+    /// returns the predecessor.
     pub(crate) async fn upgrade(&mut self) -> Predecessor {
         self.admin_address = {
             let _no_fork = lock_fork();
@@ -198,7 +199,7 @@
         predecessor
     }
 
-    /// The number of descriptors that it has open.
+    /// The number of open descriptors of the process.
     pub(crate) fn descriptors(&self) -> usize {
         descriptors(&self.process)
     }
@@ -208,8 +209,8 @@
         self.directory.join("state").join(name)
     }
 
-    /// Shifts the stored timeline, so that the wall clock has been stepped in comparison. The process must have ended, and
-    /// its journal must be empty.
+    /// Shifts the stored timeline, which has the same effect as a step of the wall clock. The process must
+    /// have ended, and its journal must be empty.
     pub(crate) fn shift_stored_timeline(&self, step: ClockStep) {
         let path = self.state_file("clock");
         let line = fs::read_to_string(&path).expect("a process has saved it");
@@ -247,7 +248,7 @@
         signal(&self.process, "-TERM");
     }
 
-    /// Sends SIGSTOP. When the process continues, everything that happens in between is ready at once.
+    /// Sends SIGSTOP. All events that occur until SIGCONT are ready at once when the process continues.
     pub(crate) fn pause(&self) {
         signal(&self.process, "-STOP");
     }
@@ -305,7 +306,7 @@
         submit(self.address, destination, class, id, deadline_ms, body).await
     }
 
-    /// Submits the same message until the reply says that it was delivered.
+    /// Submits a message repeatedly until the reply reports its delivery.
     pub(crate) async fn until_delivered(&self, class: &str, id: &str) {
         let delivered = async {
             while self.submit(class, id, 1000).await.status() != 200 {
@@ -324,7 +325,7 @@
     }
 }
 
-/// A process that a successor has taken over from. It is killed when this is dropped.
+/// A process from which a successor has taken over. It is killed on drop.
 pub(crate) struct Predecessor(Child);
 
 impl Predecessor {
@@ -343,7 +344,7 @@
         exit_status(&mut self.0).await
     }
 
-    /// The number of descriptors that it has open.
+    /// The number of open descriptors of the process.
     pub(crate) fn descriptors(&self) -> usize {
         descriptors(&self.0)
     }
@@ -356,8 +357,8 @@
     }
 }
 
-/// Starts the program by a shell. If it inherits a listener, the shell moves it to descriptor 3. With a limit on
-/// files, the shell lets it ignore the signal of that limit.
+/// Starts the program by a shell. The shell moves an inherited listener to descriptor 3. With a limit on the
+/// file size, the shell makes the program ignore the signal of that limit, SIGXFSZ.
 fn spawn(
     directory: &Path,
     listener: Option<&TcpListener>,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-ins on loopback addresses for endpoints, discovery and clients, and the forwarder program between
-//! them.
+//! Starts the forwarder program between stand-ins for endpoints, discovery and clients on loopback addresses,
+//! and checks the drain rule.
 #![allow(dead_code, unused_imports, missing_docs)]
 
 mod discovery_connection;
@@ -45,9 +45,9 @@
 
 use std::time::Duration;
 
-/// Timeout of every event that a test waits for.
+/// The timeout of each event that a test waits for.
 pub(crate) const EVENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a test watches that something does not happen.
+/// How long a test waits to verify that something does not happen.
 pub(crate) const QUIET_PERIOD: Duration = Duration::from_millis(150);
 /// The interval between checks of a condition that a test waits for.
 pub(crate) const POLL_INTERVAL: Duration = Duration::from_millis(5);
--- a/tests/support/reserved_addresses.rs
+++ b/tests/support/reserved_addresses.rs
@@ -1,26 +1,25 @@
-//! Addresses that are free when a forwarder binds them.
+//! Reserves addresses that are still free when a forwarder binds them.
 
 use std::net::{SocketAddr, TcpListener};
 use std::process;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Locked while a listener is open that is later closed to free its port, and while a process is started. A process
-/// between fork and exec has copies of all descriptors of the test, so that a port is in use until exec has closed the
-/// copy.
+/// Locked while a process is started, and while a listener is open that is closed to free its port. Between
+/// fork and exec, a process has copies of all descriptors of the test, so the port stays in use until exec
+/// closes the copy.
 static FORK_LOCK: Mutex<()> = Mutex::new(());
 
 /// Waits until no other test holds the lock.
 pub(super) fn lock_fork() -> MutexGuard<'static, ()> {
-    // The lock guards no data, so that a panic while it was locked does no harm.
+    // The lock guards no data, so a panic while it was locked does no harm.
     FORK_LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Free ports of an IP address that no other test uses, so that they stay free until the forwarder binds
-/// them.
+/// Free ports of an IP address that no other test uses, so they stay free until the forwarder binds them.
 pub(super) struct ReservedAddresses {
     pub address: SocketAddr,
     pub admin_address: SocketAddr,
-    /// The listener at `address`, if it is to be inherited.
+    /// The listener at `address`, if the forwarder inherits it.
     pub listener: Option<TcpListener>,
 }
 
