--- a/tests/drain_ambiguous_failures.rs
+++ b/tests/drain_ambiguous_failures.rs
@@ -45,7 +45,7 @@
 #[tokio::test]
 async fn a_response_is_lost_right_before_the_service_goes_down() {
     let scenario = start_watching().await;
-    scenario.discovery.spoil_next_answer(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.outage(DiscoveryBehavior::Refuse, OUTAGE).await;
@@ -92,7 +92,7 @@
 async fn an_overloaded_service_rejects_calls_as_it_did_during_the_outage_before() {
     let scenario = start_watching().await;
     scenario.outage(DiscoveryBehavior::Reject503, OUTAGE).await;
-    scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: Duration::ZERO });
+    scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: Duration::ZERO });
     scenario.drain();
     sleep(LONGEST_DELAY).await;
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
--- a/tests/drain_crowded_discovery.rs
+++ b/tests/drain_crowded_discovery.rs
@@ -44,7 +44,7 @@
         if self.watch_breaks {
             scenario.outage(DiscoveryBehavior::Reset, CONNECTION_LOSS).await;
         }
-        scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: self.patience });
+        scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: self.patience });
         sleep(BEFORE_DRAIN).await;
         scenario.drain();
         sleep(LONGEST_DELAY).await;
@@ -80,7 +80,7 @@
         scenario.discovery.until_followed().await;
         scenario.discovery.set_latency(LATENCY_MS);
         sleep(WATCH_ACCEPTED).await;
-        scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: self.patience });
+        scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: self.patience });
         scenario.discovery.change(scenario.staying_record());
         sleep(BETWEEN_WATCHES).await;
         scenario.drain();
@@ -107,7 +107,7 @@
         scenario.discovery.until_followed().await;
         scenario.discovery.set_latency(LATENCY_MS);
         sleep(WATCH_ACCEPTED).await;
-        scenario.discovery.set_behavior(DiscoveryBehavior::CrowdedByOthers { patience: self.patience });
+        scenario.discovery.set_behavior(DiscoveryBehavior::OverloadedByOthers { patience: self.patience });
         let watch = scenario.discovery.history().calls.len() - 1;
         scenario.discovery.until(|history| history.calls[watch].end.is_some()).await;
         scenario.drain();
@@ -142,7 +142,7 @@
 
 impl FirstProcess {
     async fn run(self) -> DrainScenario {
-        let overloaded = DiscoveryBehavior::CrowdedByOthers { patience: self.patience };
+        let overloaded = DiscoveryBehavior::OverloadedByOthers { patience: self.patience };
         let started_at = Instant::now();
         let scenario = DrainScenario::start_at(overloaded, DiscoveryMode::Ask, self.sender_count).await;
         assert!(started_at.elapsed() < USABLE_LIST, "{self:?}: served after {:?}", started_at.elapsed());
--- a/tests/drain_slow_discovery.rs
+++ b/tests/drain_slow_discovery.rs
@@ -99,7 +99,7 @@
 
 #[tokio::test]
 async fn calls_are_served_one_at_a_time() {
-    let overloaded = DiscoveryBehavior::CrowdedSerial {
+    let overloaded = DiscoveryBehavior::OverloadedSerial {
         service_time: Duration::from_millis(700),
         patience: Duration::from_secs(2),
     };
--- a/tests/support_soak/additional_faults.rs
+++ b/tests/support_soak/additional_faults.rs
@@ -49,7 +49,7 @@
 /// Lets discovery reject calls or be silent for most of the run.
 fn add_long_fault(plan: &mut Plan, choices: &mut Choices) {
     let overloaded =
-        DiscoveryBehavior::CrowdedByOthers { patience: choices.milliseconds(OVERLOAD_PATIENCE_MS) };
+        DiscoveryBehavior::OverloadedByOthers { patience: choices.milliseconds(OVERLOAD_PATIENCE_MS) };
     let behavior = match plan.mode {
         DiscoveryMode::Ask => choices.one_of(&[overloaded, overloaded, DiscoveryBehavior::Silent]),
         DiscoveryMode::Push => DiscoveryBehavior::Silent,
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -138,7 +138,7 @@
     if mode == DiscoveryMode::Push || choices.happens(40) {
         return DiscoveryBehavior::Healthy;
     }
-    DiscoveryBehavior::CrowdedQueue {
+    DiscoveryBehavior::OverloadedQueue {
         service_time: choices.milliseconds(20..130),
         patience: choices.milliseconds(600..1500),
         continues_at_once: true,
@@ -232,8 +232,8 @@
         DiscoveryBehavior::Delayed { delay: choices.milliseconds(300..1500), content },
     ];
     let overloaded = [
-        DiscoveryBehavior::CrowdedByOthers { patience: Duration::ZERO },
-        DiscoveryBehavior::CrowdedByOthers { patience: Duration::from_secs(1) },
+        DiscoveryBehavior::OverloadedByOthers { patience: Duration::ZERO },
+        DiscoveryBehavior::OverloadedByOthers { patience: Duration::from_secs(1) },
     ];
     match mode {
         DiscoveryMode::Ask => choices.one_of(&[down.as_slice(), &slow, &overloaded].concat()),
