--- a/src/sender_state/message.rs
+++ b/src/sender_state/message.rs
@@ -1,4 +1,4 @@
-//! A message without a final answer, and its state.
+//! A message without a final reply, and its state.
 
 use super::message_queues::QueueKey;
 use crate::interface::{Micros, PossibleExecution, Submission};
@@ -16,7 +16,7 @@
     Blocked,
 }
 
-/// A message without a final answer.
+/// A message without a final reply.
 pub(crate) struct Message {
     /// The message as it was submitted, without the ordering key if its class is not ordered.
     pub(crate) submission: Submission,
@@ -24,7 +24,7 @@
     pub(crate) over_quota: bool,
     /// Until this time a delivery has its full weight.
     pub(crate) due: Micros,
-    /// When the message gets its final answer if it has not been delivered.
+    /// When the message gets its final reply if it has not been delivered.
     pub(crate) give_up_at: Micros,
     /// Number of attempts made.
     pub(crate) attempts: usize,
--- a/src/sender_state/message_table.rs
+++ b/src/sender_state/message_table.rs
@@ -1,4 +1,4 @@
-//! Owns all messages without a final answer, with their queues and timers.
+//! Owns all messages without a final reply, with their queues and timers.
 
 use super::message::{Message, MessageState};
 use super::message_queues::MessageQueues;
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::ops::Index;
 
-/// All messages without a final answer. Methods that take an id panic if that message is not open, unless
+/// All messages without a final reply. Methods that take an id panic if that message is not open, unless
 /// their comment allows this.
 #[derive(Default)]
 pub(crate) struct MessageTable {
@@ -99,7 +99,7 @@
         Some(message)
     }
 
-    /// Sets the time at which a message gets its final answer if it has not been delivered.
+    /// Sets the time at which a message gets its final reply if it has not been delivered.
     pub(crate) fn set_give_up_at(&mut self, id: MessageId, at: Micros) {
         let message = self.messages.get_mut(&id).expect("the message is open");
         self.give_up_times.remove(message.give_up_at, id);
--- a/src/sender_state/state.rs
+++ b/src/sender_state/state.rs
@@ -18,7 +18,7 @@
     pub(crate) seed: u64,
     /// Destinations and endpoints.
     pub(crate) directory: Directory,
-    /// Messages without a final answer.
+    /// Messages without a final reply.
     pub(crate) messages: MessageTable,
     /// Ordering keys and their messages.
     pub(crate) ordering_keys: OrderingKeys,
