--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,7 +7,7 @@
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SEC: Micros = 1_000_000;
 
-/// How long clients wait for an answer.
+/// How long clients wait for a final reply.
 pub(crate) const CLIENT_TIMEOUT: Micros = 16 * SEC;
 /// Resolution of the timers in tests.
 pub(crate) const TICK: Micros = 5 * MS;
@@ -25,8 +25,9 @@
     }
 }
 
-/// Classes: 0 idempotent, 1 with idempotency keys that live for 5 s, 2 not idempotent, 3 idempotent and ordered.
-/// Kinds of destinations: 0 shared limits, 1 separate routes, 2 shared limits and calls of up to 20 messages.
+/// Classes: 0 idempotent, 1 with idempotency keys that live for 5 s, 2 not idempotent, 3 idempotent and
+/// ordered. Kinds of destinations: 0 shared limits, 1 separate routes, 2 shared limits and calls of up to 20
+/// messages.
 pub(crate) fn settings() -> Settings {
     let ordered = Class { ordered: true, ..class(Idempotency::Idempotent) };
     Settings {
@@ -58,17 +59,17 @@
     }
 }
 
-/// The settings of one of many senders, which must not act in step.
+/// The settings of one of many senders, which must not call at the same time.
 pub(crate) fn many_senders() -> Settings {
     Settings { sender_count: 50, connect_timeout: SEC, ..settings() }
 }
 
-/// The same settings with a rate limit that starts at the weights of the endpoint list.
+/// Adds a rate limit that starts at the weights of the endpoint list.
 pub(crate) fn with_approximate_weights(settings: Settings) -> Settings {
     Settings { endpoint_weights: EndpointWeights::Approximate, ..settings }
 }
 
-/// The same settings, where calls that take too long may be cancelled.
+/// Allows the sender to cancel calls that take too long.
 pub(crate) fn with_cancellation(settings: Settings) -> Settings {
     Settings { cancellation: true, ..settings }
 }
@@ -96,7 +97,7 @@
     }
 }
 
-/// The end of an attempt that was sent and about which the destination reported nothing.
+/// The end of an attempt that was sent, without a load report and without a Retry-After of its own.
 pub(crate) fn attempt_ended(
     id: MessageId,
     attempt: usize,
@@ -122,19 +123,19 @@
 }
 
 impl SenderHarness {
-    /// A sender that knows an endpoint list.
+    /// A sender that has received the endpoint list `entries`.
     pub(crate) fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         Self::with_seed(settings, 7, entries)
     }
 
-    /// The same with a seed of its own.
+    /// A sender with the given seed that has received the endpoint list `entries`.
     pub(crate) fn with_seed(settings: Settings, seed: u64, entries: Vec<EndpointEntry>) -> Self {
         let mut harness = SenderHarness { sender: Balancer::new(settings, seed), now: 100 * SEC };
         harness.turn(vec![Event::ListSnapshot(entries)]);
         harness
     }
 
-    /// Passes in events at the present time, ends the turn and returns the actions but for wake-ups.
+    /// Passes in events at the present time, ends the turn and returns the actions except wake-ups.
     pub(crate) fn turn(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         for event in events.into_iter().chain([Event::TurnEnd]) {
@@ -209,8 +210,8 @@
         sent
     }
 
-    /// Lets time pass. Each attempt sent is delivered within 10 ms; `attempt_of` gives its number. Returns how
-    /// many there were.
+    /// Lets time pass and delivers each attempt that is sent, within 10 ms; `attempt_of` returns the number
+    /// of the attempt. Returns how many attempts were sent.
     pub(crate) fn deliver_all_for(
         &mut self,
         duration: Micros,
