--- a/tests/decision_admission.rs
+++ b/tests/decision_admission.rs
@@ -24,7 +24,8 @@
     }
 }
 
-/// Each message needs an answer, whatever the host submits.
+/// A message of an unknown class still needs a final reply. Events that are repeated or refer to an unknown
+/// attempt must change nothing.
 #[test]
 fn message_of_an_unknown_class_is_rejected_and_a_known_id_is_ignored() {
     let mut harness = SenderHarness::new(settings(), vec![entry(10, 1, 0)]);
--- a/tests/decision_cancellation.rs
+++ b/tests/decision_cancellation.rs
@@ -4,8 +4,8 @@
 use common::*;
 use message_forwarder::interface::*;
 
-/// Seen at a recorded incident: several destinations sent no responses and the calls to them, most of them of a class that
-/// allows one execution and so without a short timeout, held every slot for 16 s.
+/// Several destinations send no responses. The calls to them, mostly of a class that allows one execution and
+/// so has no short timeout, would otherwise hold every slot for the 16 s that clients wait.
 #[test]
 fn overdue_calls_are_cancelled_but_for_a_few_when_every_slot_is_taken() {
     let endpoints = vec![entry(10, 1, 0), entry(20, 2, 0), entry(30, 3, 0)];
@@ -23,8 +23,8 @@
     assert_eq!(sends(&freed), vec![(8, 30)], "a healthy destination gets the slot");
 }
 
-/// Seen at a recorded incident: 2% of the calls hung, and each held its slot for ten times what the others took,
-/// so that a quarter of the slots was never free while hundreds of messages waited.
+/// Hanging calls hold their slots while messages wait: in an incident, 2% of the calls took ten times the
+/// usual latency and kept a quarter of the slots occupied.
 #[test]
 fn call_that_takes_far_longer_than_usual_is_cancelled_when_every_slot_is_taken() {
     let first_cancellation = |deliveries: u64, message_waits: bool| {
@@ -60,14 +60,14 @@
         harness.advance(100 * MS);
         harness.end_attempt(id, 0, Outcome::Delivered, 100 * MS);
     }
-    // Four calls, half of the slots, get no response; one that is sent much later does.
+    // Four calls, half of the slots, get no response, but a call that is sent much later does.
     (1..5).for_each(|id| assert_eq!(sends(&harness.submit(id, 2, 1)), [(id, 10)]));
     assert_eq!(harness.advance(5 * SEC), [], "no message waits for their slots");
     let cancelled_messages = |all: Vec<Action>| -> Vec<MessageId> {
         let id = |a: Action| if let Action::Cancel { id, .. } = a { Some(id) } else { None };
         all.into_iter().filter_map(id).collect()
     };
-    // One message waits: a single call makes room for a probe, and its message fails.
+    // One message waits: a single call is cancelled to make room for a probe, and its message fails.
     assert!(sends(&harness.submit(5, 2, 1)).is_empty(), "half of the slots are taken");
     assert_eq!(cancelled_messages(harness.advance(3 * SEC).into_iter().map(|(_, a)| a).collect()), [1]);
     let mut after = harness.end_attempt(1, 0, Outcome::Cancelled, 7 * SEC);
@@ -75,7 +75,7 @@
     after.extend(harness.advance(3 * SEC).into_iter().map(|(_, a)| a));
     assert_eq!(sends(&after), [(5, 10)]);
     harness.end_attempt(5, 0, Outcome::Delivered, 100 * MS);
-    // The probe was delivered: the lost calls make room for the messages that wait now.
+    // The probe was delivered: the lost calls are cancelled to make room for the messages that wait now.
     let mut all: Vec<Action> = (6..12).flat_map(|id| harness.submit(id, 2, 1)).collect();
     all.extend(harness.advance(SEC).into_iter().map(|(_, a)| a));
     assert_eq!(cancelled_messages(all), [2, 3, 4]);
