--- a/tests/decision_connections.rs
+++ b/tests/decision_connections.rs
@@ -8,8 +8,8 @@
     actions.iter().any(|a| matches!(a, Action::CloseIdleConnections { .. }))
 }
 
-/// Seen on a day with upgrades: six calls met an endpoint that restarted, and each doubled the backoff: it received
-/// nothing for 16 s, while 240 messages waited.
+/// Six calls that meet a restarting endpoint are rejected in one wave. If each of them doubled the backoff,
+/// the endpoint would receive no call for 16 s while messages wait.
 #[test]
 fn connections_rejected_in_one_wave_count_as_one() {
     let mut harness =
@@ -33,7 +33,8 @@
     }
 }
 
-/// Seen at a recorded incident: idle connections of hundreds of senders filled the connection tables.
+/// Idle connections of hundreds of senders can fill the connection tables of the endpoints, which then reject
+/// new connections.
 #[test]
 fn idle_connection_is_kept_only_where_one_is_busy_if_connection_tables_are_full() {
     let mut harness = SenderHarness::new(many_senders(), vec![entry(10, 1, 0), entry(20, 2, 0)]);
@@ -50,7 +51,7 @@
         harness.submit(id, 0, 1);
         harness.now += 300 * MS;
         let end = harness.end_attempt(id, 0, Outcome::Delivered, 400 * MS);
-        assert!(id < 38 || !closes_idle_connections(&end), "a sender that keeps one busy keeps it");
+        assert!(id < 38 || !closes_idle_connections(&end), "a busy sender keeps its idle connection");
     }
 }
 
@@ -74,7 +75,8 @@
     );
 }
 
-/// Seen at a recorded incident: a few connections rejected at once were taken for an outage of seconds.
+/// A few connections that are rejected at once must not be taken for an outage, which stops calls for
+/// seconds.
 #[test]
 fn connection_rejected_at_once_shows_a_full_table_and_no_outage() {
     let mut harness = SenderHarness::new(many_senders(), vec![entry(10, 1, 0), entry(11, 1, 0)]);
--- a/tests/decision_endpoint_list.rs
+++ b/tests/decision_endpoint_list.rs
@@ -23,7 +23,7 @@
     assert_eq!(harness.turn(vec![Event::WatchFailed]), vec![], "not at once: discovery may be overloaded");
     let all = harness.advance(3 * SEC);
     assert_eq!(all.iter().filter(|(_, a)| *a == Action::Subscribe).count(), 1);
-    assert_eq!(sends(&harness.submit(1, 0, 1)), vec![(1, 10)], "the old list stays in force");
+    assert_eq!(sends(&harness.submit(1, 0, 1)), vec![(1, 10)], "the last list remains in use");
 
     let mut sender = message_forwarder::Balancer::new(Settings { poll_discovery: true, ..settings() }, 1);
     let mut actions = Vec::new();
@@ -45,7 +45,7 @@
             }
             harness.advance(SEC / 10);
         }
-        // While the other one is banned, the one that is used again receives few calls at first.
+        // While endpoint 2 is banned, endpoint 1, whose ban has ended, receives few calls at first.
         harness.turn(vec![Event::BanStarted { endpoint: 2 }, Event::BanEnded { endpoint: 1 }]);
         let mut sent = 0;
         for id in 100..300 {
@@ -55,7 +55,8 @@
                 harness.end_attempt(id, 0, Outcome::Delivered, 0);
             }
         }
-        // About 10 a second before; in the first second at most twice a fifth of that, and one call at once.
+        // About 10 calls a second before; in the first second at most twice a fifth of that, and one call at
+        // once.
         assert!((1..=6).contains(&sent), "{sent} of kind {kind}");
     }
 }
@@ -68,7 +69,7 @@
     assert_eq!(harness.turn(vec![Event::Resume]), [Action::AcceptClients(true)]);
 }
 
-/// A change of the list as an update, or as a complete list with what stays.
+/// Lists `entry` in an update, or in a complete list together with `others`.
 fn change(entry: EndpointEntry, others: &[EndpointEntry], complete: bool) -> Event {
     if complete {
         return Event::ListSnapshot(others.iter().copied().chain([entry]).collect());
@@ -89,7 +90,7 @@
             assert_eq!(sends(&harness.submit(id, 0, destination)), [(id, endpoint)], "{from} to {to}");
             harness.end_attempt(id, 0, Outcome::Delivered, 10 * MS);
         }
-        // Back again.
+        // The endpoint moves back to its first destination.
         harness.turn(vec![change(entry(10, 1, from), &[], complete)]);
         assert_eq!(sends(&harness.submit(20, 0, 2)), []);
         assert_eq!(sends(&harness.submit(21, 0, 1)).len(), 1);
@@ -131,7 +132,7 @@
     }
 }
 
-/// Seen to fail: the end of the ban made it usable, although it is in no list any more.
+/// The end of a ban must not make an endpoint usable that has been removed from the list.
 #[test]
 fn end_of_a_ban_does_not_bring_back_an_endpoint_that_is_not_listed() {
     for kind in [0, 1] {
