--- a/tests/decision_health.rs
+++ b/tests/decision_health.rs
@@ -39,7 +39,7 @@
     assert!(sent > 20, "it grows during the warm-up: {sent}");
 }
 
-/// Seen at a recorded incident: senders with the same Retry-After resumed together and caused a new outage.
+/// Senders that received the same Retry-After must not resume together, because that causes a new outage.
 #[test]
 fn senders_with_the_same_retry_after_in_an_outage_do_not_resume_together() {
     let mut delays = Vec::new();
@@ -56,7 +56,8 @@
     assert!(at_once <= 6, "{at_once} of 19 within a second of the end: {delays:?}");
 }
 
-/// Seen on a generated day: probes at random times came at half of their interval.
+/// Probes at random times must not follow each other at half of their interval on average, which would be
+/// twice the allowed rate.
 #[test]
 fn probes_of_many_senders_stay_within_the_capacity_right_after_an_outage() {
     let mut probes = 0;
@@ -91,8 +92,8 @@
         harness.end_attempt(id, 0, Outcome::Error, 100 * MS);
     }
     let start = harness.now;
-    assert_eq!(sends(&harness.submit(20, 2, 1)), [], "an error would lose it");
-    assert_eq!(sends(&harness.submit(21, 0, 1)).len(), 1, "an error would not");
+    assert_eq!(sends(&harness.submit(20, 2, 1)), [], "an error would lose the message");
+    assert_eq!(sends(&harness.submit(21, 0, 1)).len(), 1, "an error would not lose it");
     let all = timed_sends(&harness.advance(3 * SEC));
     let (at, ..) =
         all.iter().find(|(_, id, _)| *id == 20).expect("it is sent before its objective has passed");
@@ -110,11 +111,12 @@
     assert_eq!(all.first().map(|(_, id, _)| *id), Some(31), "{all:?}");
 }
 
-/// Seen to fail: calls were looked at in their order, up to the first that does not count.
+/// The search for hanging calls goes through the calls in their order. It must not end at a call that does
+/// not count because its response is lost.
 #[test]
 fn lost_old_call_does_not_hide_the_calls_that_hang_behind_it() {
     let mut harness = SenderHarness::new(settings(), vec![entry(10, 1, 0)]);
-    // Its response is lost: later calls are delivered.
+    // The response to message 1 is lost: later calls are delivered.
     assert_eq!(sends(&harness.submit(1, 2, 1)).len(), 1);
     harness.advance(4 * SEC);
     for id in 2..6 {
--- a/tests/decision_list_freshness.rs
+++ b/tests/decision_list_freshness.rs
@@ -5,11 +5,11 @@
 use message_forwarder::interface::*;
 
 fn rejections_and_failures(actions: &[(Micros, Action)]) -> Vec<(Micros, MessageId)> {
-    let answer = |(at, action): &(Micros, Action)| match action {
+    let final_reply = |(at, action): &(Micros, Action)| match action {
         Action::Reject { id, .. } | Action::Fail { id } => Some((*at, *id)),
         _ => None,
     };
-    actions.iter().filter_map(answer).collect()
+    actions.iter().filter_map(final_reply).collect()
 }
 
 /// A sender that has delivered a message to endpoint 10 and to the separate route 20.
@@ -28,7 +28,7 @@
     assert_eq!(harness.turn(vec![Event::ListStale]), []);
     assert_eq!(harness.submit(3, 0, 1), []);
     assert_eq!(harness.submit(4, 2, 2), []);
-    assert_eq!(harness.advance(6 * SEC), [], "held, and nothing is answered early");
+    assert_eq!(harness.advance(6 * SEC), [], "messages are held, and no final reply is early");
     assert_eq!(sends(&harness.turn(vec![Event::ListFresh])), [(3, 10), (4, 20)]);
 }
 
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn waits_of_destinations_outlast_a_stale_list() {
+fn retry_after_outlasts_a_stale_list() {
     let mut harness = harness_with_two_destinations(settings());
     harness.submit(3, 0, 1);
     harness.end_attempt(3, 0, Outcome::Rejected { retry_after: Some(3 * SEC) }, 10 * MS);
@@ -59,13 +59,13 @@
 }
 
 #[test]
-fn expired_messages_are_answered_on_time_while_the_list_is_stale() {
+fn expired_messages_get_their_final_reply_on_time_while_the_list_is_stale() {
     let mut held = harness_with_two_destinations(settings());
     held.turn(vec![Event::ListStale]);
     // The same messages for a destination without endpoints are held for another reason.
     let mut without_endpoints = harness_with_two_destinations(settings());
     without_endpoints.turn(vec![Event::ListSnapshot(vec![])]);
-    let mut answers = Vec::new();
+    let mut final_replies = Vec::new();
     for harness in [&mut held, &mut without_endpoints] {
         let mut all = Vec::new();
         for id in 3..30 {
@@ -76,10 +76,13 @@
         }
         all.extend(harness.advance(CLIENT_TIMEOUT));
         assert_eq!(timed_sends(&all), []);
-        answers.push(rejections_and_failures(&all));
+        final_replies.push(rejections_and_failures(&all));
     }
-    assert_eq!(answers[0].len(), 27);
-    assert_eq!(answers[0], answers[1], "no answer that a held message would not otherwise get");
+    assert_eq!(final_replies[0].len(), 27);
+    assert_eq!(
+        final_replies[0], final_replies[1],
+        "no final reply that a held message would not get otherwise"
+    );
     assert_eq!(held.turn(vec![Event::ListFresh]), []);
 }
 
@@ -110,7 +113,8 @@
     assert_eq!(harness.turn(vec![Event::ListFresh, Event::ListStale]), []);
 }
 
-/// Calls of senders of a fleet that each know an outage, and whose lists become fresh at the same time.
+/// Returns how many calls a fleet sends at once if all senders know of an outage and their lists become fresh
+/// together.
 fn calls_at_once_after_an_outage(recovered: bool) -> usize {
     let mut at_once = 0;
     for seed in 1..=50 {
