--- a/tests/decision_rate_limit.rs
+++ b/tests/decision_rate_limit.rs
@@ -41,9 +41,10 @@
     assert!(!all.is_empty() && all[0].0 >= wait_end, "{all:?}");
 }
 
-/// Seen at a recorded incident: a few rejections in the first second cut 38 calls a second to 11 for good.
+/// A rejection after an idle period must not reduce the limit to the low recent rate. In an incident, a few
+/// rejections in the first second reduced 38 calls a second to 11 for good.
 #[test]
-fn rejection_after_a_lull_decreases_the_limit_and_not_the_recent_rate() {
+fn rejection_after_an_idle_period_decreases_the_limit_and_not_the_recent_rate() {
     let mut harness = SenderHarness::new(settings(), vec![entry(10, 1, 0)]);
     harness.submit(1, 0, 1);
     harness.end_attempt_with_report(1, 0, Outcome::Rejected { retry_after: None }, 20.0);
@@ -63,7 +64,7 @@
     assert!((40..=90).contains(&sent), "{sent} calls in 4 s where 20 a second are allowed");
 }
 
-/// Seen in a search for bad days: frequent calls with few messages used up a limit on calls, and one sender sent nothing.
+/// Frequent calls with few messages use up a limit on calls, so that another sender can send nothing.
 #[test]
 fn limit_on_batches_starts_at_the_even_share_and_does_not_grow_while_calls_are_not_full() {
     let listed = EndpointEntry { weight: 4.0, ..entry(10, 1, 2) };
@@ -94,7 +95,7 @@
         harness.end_attempt_with_report(1, 0, Outcome::Delivered, limit);
         let sent: usize = (2..5).map(|id| sends(&harness.submit(id, 0, 1)).len()).sum();
         assert_eq!(sent, 3, "a tiny limit holds nothing back");
-        // After a huge one a rejection still decreases the rate to what was sent.
+        // After a huge limit a rejection still decreases the rate to what was sent.
         harness.end_attempt(2, 0, Outcome::Rejected { retry_after: None }, 10 * MS);
         harness.now += 4 * SEC;
         let sent: usize = (5..15).map(|id| sends(&harness.submit(id, 0, 1)).len()).sum();
@@ -102,7 +103,8 @@
     }
 }
 
-/// Seen at a recorded incident: 30 senders each went on at 70% of a limit reported for all of them.
+/// After a rejection, a sender must not continue at 70% of a limit that is reported for all senders: 30
+/// senders that each do so exceed the limit by far.
 #[test]
 fn rejection_decreases_the_rate_of_this_sender_and_not_the_reported_limit() {
     let mut harness = SenderHarness::new(many_senders(), vec![entry(10, 1, 0)]);
@@ -121,7 +123,8 @@
     assert!((1..=4).contains(&sent), "{sent} calls in 3 s from a sender of one a second");
 }
 
-/// Seen on a quiet day: the limit grew by one second's increase for each delivery, and with rare calls never recovered.
+/// If the limit grew by one second's increase for each delivery, a sender with rare calls would never recover
+/// from a rejection.
 #[test]
 fn sender_with_rare_calls_recovers_from_a_rejection_with_time() {
     let mut harness = SenderHarness::new(many_senders(), vec![entry(10, 1, 0)]);
@@ -138,7 +141,7 @@
     }
 }
 
-/// Seen on a day of the whole fleet: 200 senders were restarted together, and each sent its messages at once.
+/// Many senders that are restarted together, for example 200, must not each send all their messages at once.
 #[test]
 fn first_calls_of_many_senders_that_start_together_stay_within_the_listed_rate() {
     for kind in [0, 1, 2] {
@@ -156,15 +159,16 @@
             calls.iter().for_each(|at| seconds[((at - begun) / SEC) as usize] += 1);
             all += calls.len();
         }
-        // At most twice the even share of 20 a second; a burst would be 50 calls at once and more behind them.
+        // At most twice the even share of 20 a second; a burst would be 50 calls at once and more after them.
         let most = seconds.iter().copied().max().unwrap_or(0);
         assert!((8..=48).contains(&most), "{seconds:?} calls in each second, kind {kind}");
         assert!(all >= 50, "each has sent in ten seconds: {all}, kind {kind}");
     }
 }
 
-/// Seen on a day of the whole fleet: 300 senders of an endpoint of 15 calls a second, each with one call in its
-/// count, went on with 20 a second in all, and since rejected calls used up the limit none was delivered.
+/// 300 senders share an endpoint that accepts 15 calls a second. If the one call that each has counted kept
+/// up its rate after a rejection, they would continue with 20 a second in all. Rejected calls use up the
+/// limit, so none would be delivered.
 #[test]
 fn senders_with_rare_calls_that_are_rejected_together_fall_below_the_listed_rate() {
     let settings = with_approximate_weights(Settings { sender_count: 300, ..many_senders() });
@@ -192,8 +196,8 @@
     assert!((5..=20).contains(&late), "at most two thirds of their share: {calls:?}");
 }
 
-/// Seen on a day of the whole fleet: after one wave of rejections 300 senders with a limit of 330 a second waited for
-/// up to 18 s, with thousands of messages and half of the limit unused.
+/// 300 senders share a limit of 330 calls a second. If they waited for up to 18 s after one wave of
+/// rejections, half of the limit would be unused while thousands of messages wait.
 #[test]
 fn backoff_after_rejections_is_short_where_each_sender_may_call_often() {
     let settings = with_approximate_weights(Settings { sender_count: 300, ..many_senders() });
@@ -224,7 +228,7 @@
 
 #[test]
 fn rejections_of_one_wave_decrease_the_limit_once_despite_deliveries_between_them() {
-    let full = Outcome::Rejected { retry_after: Some(100 * MS) };
+    let rejected = Outcome::Rejected { retry_after: Some(100 * MS) };
     let sent_after = |ends: [Outcome; 3]| {
         let listed = EndpointEntry { weight: 20.0, ..entry(10, 1, 0) };
         let mut harness = SenderHarness::new(
@@ -241,16 +245,16 @@
         (10..40).for_each(|id| drop(harness.submit(id, 0, 1)));
         harness.deliver_all_for(2 * SEC, |id| usize::from(id < 10))
     };
-    let together = sent_after([full, full, Outcome::Delivered]);
+    let together = sent_after([rejected, rejected, Outcome::Delivered]);
     assert!(together > 5, "{together}");
-    assert_eq!(sent_after([full, Outcome::Delivered, full]), together);
+    assert_eq!(sent_after([rejected, Outcome::Delivered, rejected]), together);
 }
 
 #[test]
 fn rejection_leaves_a_sender_with_rare_calls_its_even_share_of_the_listed_rate() {
     let listed = EndpointEntry { weight: 20.0, ..entry(10, 1, 0) };
     let mut harness = SenderHarness::new(with_approximate_weights(settings()), vec![listed]);
-    // It has sent a single call when it meets a limit that others use up.
+    // This sender has sent a single call when it reaches a limit that the other sender uses up.
     assert_eq!(sends(&harness.submit(1, 0, 1)).len(), 1);
     harness.advance(50 * MS);
     harness.end_attempt(1, 0, Outcome::Rejected { retry_after: None }, 50 * MS);
@@ -262,7 +266,8 @@
 
 #[test]
 fn next_call_takes_the_place_of_a_call_that_was_never_sent() {
-    // A listed rate of 10 a second, and 100 senders: a call each ten seconds, or at first each five.
+    // At a listed rate of 10 a second, each of 100 senders may send a call every ten seconds, at first every
+    // five.
     let many = Settings {
         sender_count: 100,
         endpoint_weights: EndpointWeights::Nominal,
@@ -281,7 +286,7 @@
             ..attempt_ended(first, 0, outcome, MS)
         })]);
         actions.extend(harness.advance(50 * MS).into_iter().map(|(_, action)| action));
-        // To the other endpoint, and once: the next call is spaced.
+        // An unsent call is replaced by one call, to the other endpoint; the next call is spaced.
         let sent = sends(&actions);
         assert_eq!(sent.len(), usize::from(!was_sent), "{sent:?}");
         assert!(sent.iter().all(|(_, to)| *to != endpoint));
