--- a/tests/decision_restart.rs
+++ b/tests/decision_restart.rs
@@ -1,4 +1,4 @@
-//! Messages of a predecessor.
+//! Messages that are taken over from a predecessor.
 
 mod common;
 use common::*;
@@ -28,7 +28,8 @@
     assert!(is_sent(&resume(2, history(3, None))));
     let exhausted = resume(2, history(6, None));
     assert!(!is_sent(&exhausted) && exhausted.iter().any(|a| matches!(a, Action::Reject { id: 1, .. })));
-    // Possibly executed: never retried, retried within the lifetime of the key, or always, as its class allows.
+    // Possibly executed: never retried, retried within the lifetime of the key, or always, as its class
+    // allows.
     assert!(fails(&resume(2, history(1, Some(SEC)))));
     assert!(is_sent(&resume(1, history(1, Some(SEC)))));
     assert!(fails(&resume(1, history(1, Some(6 * SEC)))));
@@ -40,7 +41,7 @@
     let mut harness = SenderHarness::new(Settings { call_slots: 1, ..settings() }, vec![entry(10, 1, 0)]);
     harness.submit(0, 0, 1);
     harness.submit(1, 0, 1);
-    // Both are late: by its value each would be sent after the new one.
+    // Both are late: by value each would be sent after the new message.
     for (id, attempts) in [(2, 0), (3, 1)] {
         let history = MessageHistory { accepted: true, attempts, ..MessageHistory::default() };
         let expires_at = harness.now + 2 * SEC;
@@ -51,12 +52,11 @@
     assert_eq!(next, vec![(2, 10)]);
 }
 
-/// Seen at a generated day: 5 of 9 messages that must not be executed twice and that a restart had found untried were given
-/// up with no call. Calls were not held then (0.4 s at the most in 432 restarts of that day). Read in the code: a probe of a
-/// destination that is down carries repeatable messages while there are any, whatever else has waited, to the end of its
-/// time. Here these never run out: four probes were sent, and none had the message.
+/// A probe of a destination that is down prefers messages that may be retried. Where these never run out, a
+/// message that allows one execution and that a predecessor accepted but never attempted would expire without
+/// a call.
 #[test]
-fn untried_message_that_allows_one_execution_is_sent_during_an_outage_before_its_time_is_over() {
+fn untried_message_that_allows_one_execution_is_sent_during_an_outage_before_it_expires() {
     let mut harness = SenderHarness::new(settings(), vec![entry(10, 1, 0)]);
     let mut attempts: BTreeMap<MessageId, usize> = BTreeMap::new();
     let mut tried_at = None;
--- a/tests/decision_retry.rs
+++ b/tests/decision_retry.rs
@@ -1,4 +1,4 @@
-//! Retries, deadlines and final answers.
+//! Retries, deadlines and final replies.
 
 mod common;
 use common::*;
@@ -21,11 +21,11 @@
     assert_eq!(sends(&harness.submit(1, 2, 1)).len(), 1);
     let end = harness.end_attempt(1, 0, Outcome::Error, 10 * MS);
     assert_eq!(end, vec![Action::Fail { id: 1 }], "a message that allows one execution is not retried");
-    assert_eq!(harness.advance(20 * SEC), vec![], "one answer only");
+    assert_eq!(harness.advance(20 * SEC), vec![], "only one final reply");
 }
 
 #[test]
-fn message_in_flight_to_a_silent_endpoint_is_answered_in_time() {
+fn message_in_flight_to_a_silent_endpoint_gets_its_final_reply_in_time() {
     let mut harness = SenderHarness::new(settings(), vec![entry(10, 1, 0)]);
     harness.submit(1, 2, 1);
     let all = harness.advance(17 * SEC);
