--- a/tests/decision_history.rs
+++ b/tests/decision_history.rs
@@ -1,5 +1,5 @@
 //! Long seeded histories of the decision module, compared with digests recorded earlier: a change of any
-//! decision, however small, shows here. A refactoring must leave every number as it is.
+//! decision, however small, fails a test. A refactoring must leave every number as it is.
 //!
 //! After an intended change of behaviour the panic message of each test shows the values to record.
 
@@ -127,8 +127,8 @@
     ..BASIC
 };
 
-const ORDERED_KEYS: Scenario = Scenario {
-    name: "ordered keys",
+const ORDERING_KEYS: Scenario = Scenario {
+    name: "ordering keys",
     seed: 16,
     destinations: &[destination(1, SHARED, 2), destination(2, BATCHED, 2)],
     classes: &[IDEMPOTENT_ORDERED, NOT_IDEMPOTENT_ORDERED, IDEMPOTENT],
@@ -179,7 +179,7 @@
 };
 
 const MANY_SENDERS_RESTARTED: Scenario = Scenario {
-    name: "many senders, restarted, decay by halves",
+    name: "many senders, restarted, half-life decay",
     seed: 20,
     destinations: &[destination(1, SHARED, 4), destination(2, SEPARATE, 3), destination(3, BATCHED, 2)],
     profile: Profile {
@@ -203,7 +203,7 @@
     &MANY_SENDERS,
     &EXECUTION_RULES,
     &TENANTS_OVER_QUOTA,
-    &ORDERED_KEYS,
+    &ORDERING_KEYS,
     &SCARCE_SLOTS,
     &RESTARTS,
     &BANS_AND_DRAINS,
@@ -324,7 +324,7 @@
 #[test]
 fn decisions_on_ordering_keys_equal_the_recording() {
     check(
-        &ORDERED_KEYS,
+        &ORDERING_KEYS,
         &Expected {
             count: 8462,
             checkpoints: &[
--- a/tests/decision_selection.rs
+++ b/tests/decision_selection.rs
@@ -16,8 +16,8 @@
     assert_eq!(next, (5..15).map(|id| (id, 20)).collect::<Vec<_>>());
 }
 
-/// Seen on a day of the whole fleet: hundreds of senders, each with a message a second for a destination, made a
-/// call of each message, and a limit on calls rejected what full calls would have carried.
+/// Hundreds of senders, each with a message a second for a destination, must not make a call of each message:
+/// a limit on calls would reject what full calls could carry.
 #[test]
 fn messages_are_collected_for_one_call_within_their_objective_where_many_senders_share_a_limit() {
     let settings = with_approximate_weights(many_senders());
@@ -93,7 +93,7 @@
         };
         let mut harness = SenderHarness::new(settings, vec![entry(10, 1, 0)]);
         harness.submit(0, 0, 1);
-        // Twenty at once: far below the quota, and far above a hundredth of it.
+        // Twenty messages at once are far below the quota, and far above a hundredth of it.
         for id in 1..=21 {
             let (expires_at, tenant) = (harness.now + 16 * SEC, (id <= 20).then_some(0));
             harness.turn(vec![Event::Submit(Submission { tenant, ..submission(id, 0, 1, expires_at) })]);
