--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,4 +1,5 @@
-//! The rules of the decision module over random legal events: checkers that know the rules and no decision.
+//! The rules of the decision module, checked over random valid events. The checkers know the rules, and not
+//! how the module decides.
 
 mod common;
 use common::*;
@@ -39,7 +40,7 @@
     possible_execution: Option<Micros>,
     /// Messages with the same ordering key must not be sent before this time.
     paused_until: Micros,
-    answered: bool,
+    has_final_reply: bool,
 }
 
 /// Identifies what a Retry-After holds for: a destination, or a route where routes are separate.
@@ -87,13 +88,13 @@
             match action {
                 Action::Send { id, endpoint, .. } => self.check_send(id, endpoint)?,
                 Action::Reject { id, .. } => self.check_rejection(id)?,
-                Action::Fail { id } => self.record_answer(id)?,
+                Action::Fail { id } => self.record_final_reply(id)?,
                 _ => {}
             }
         }
         for message in self.messages.values() {
             let in_time = self.now <= message.expires_at + 20 * MS;
-            prop_assert!(message.answered || in_time, "no answer in time");
+            prop_assert!(message.has_final_reply || in_time, "no final reply in time");
         }
         Ok(())
     }
@@ -103,13 +104,13 @@
         let idempotent = self.settings.classes[message.class].idempotency == Idempotency::Idempotent;
         let not_executed = message.possible_execution.is_none() && message.in_flight.is_empty();
         prop_assert!(idempotent || not_executed, "rejected a message that may have been executed");
-        self.record_answer(id)
+        self.record_final_reply(id)
     }
 
-    fn record_answer(&mut self, id: MessageId) -> Result<(), TestCaseError> {
+    fn record_final_reply(&mut self, id: MessageId) -> Result<(), TestCaseError> {
         let message = self.messages.get_mut(&id).unwrap();
-        prop_assert!(!message.answered, "second answer");
-        message.answered = true;
+        prop_assert!(!message.has_final_reply, "second final reply");
+        message.has_final_reply = true;
         Ok(())
     }
 
@@ -117,7 +118,7 @@
         self.check_order(id)?;
         self.check_executions(id)?;
         let message = &self.messages[&id];
-        prop_assert!(!message.answered, "sent after its answer");
+        prop_assert!(!message.has_final_reply, "sent after its final reply");
         prop_assert_eq!(destination_of(endpoint), message.destination);
         prop_assert!(self.serving.contains(&endpoint), "sent to an endpoint that is not in service");
         prop_assert!(message.in_flight.is_empty() && message.sent.len() < self.settings.max_attempts);
@@ -135,7 +136,7 @@
     fn check_order(&self, id: MessageId) -> Result<(), TestCaseError> {
         let message = &self.messages[&id];
         let may_be_executed = |earlier: &MessageRecord| {
-            !earlier.answered || !earlier.in_flight.is_empty() || self.now < earlier.paused_until
+            !earlier.has_final_reply || !earlier.in_flight.is_empty() || self.now < earlier.paused_until
         };
         let mut same_key = self.messages.range(..id).filter(|(_, earlier)| earlier.key == message.key);
         let out_of_order = message.key.is_some() && same_key.any(|(_, earlier)| may_be_executed(earlier));
@@ -151,7 +152,7 @@
             }
             Idempotency::Keyed { key_lifetime, .. } => {
                 let known = message.possible_execution.is_none_or(|first| self.now <= first + key_lifetime);
-                prop_assert!(known, "its key may be forgotten");
+                prop_assert!(known, "the destination may have forgotten its key");
             }
             Idempotency::Idempotent => {}
         }
@@ -220,7 +221,7 @@
         message.in_flight.remove(&attempt);
         self.calls_in_flight -= 1;
         let (endpoint, sent_at) = message.sent[attempt];
-        message.answered |= outcome == Outcome::Delivered;
+        message.has_final_reply |= outcome == Outcome::Delivered;
         if !outcome.never_executed() {
             message.possible_execution = message.possible_execution.or(Some(sent_at));
         }
@@ -231,7 +232,7 @@
             let wait_until = self.wait_until.entry(route_of(endpoint)).or_insert(0);
             *wait_until = (*wait_until).max(now + wait);
         }
-        let finished = message.answered;
+        let finished = message.has_final_reply;
         let ended = attempt_ended(id, attempt, outcome, now - sent_at);
         self.turn(Event::AttemptEnded(AttemptEnded { finished, ..ended }))
     }
@@ -263,9 +264,12 @@
             for step in steps {
                 checker.step(step)?;
             }
-            // All messages are answered by the end.
+            // Every message has its final reply by the end.
             checker.step(Step { gap: 20_000, kind: 7, choice: 0, variant: 0 })?;
-            prop_assert!(checker.messages.values().all(|message| message.answered), "a message was lost");
+            prop_assert!(
+                checker.messages.values().all(|message| message.has_final_reply),
+                "a message was lost"
+            );
             Ok(())
         })
         .unwrap();
@@ -276,7 +280,7 @@
 /// Destinations of the random lists.
 const LISTED_DESTINATIONS: u64 = 3;
 
-/// A list of the random histories: the entry of each endpoint in it.
+/// An endpoint list: the entry of each listed endpoint.
 type EndpointList = BTreeMap<EndpointId, EndpointEntry>;
 
 /// Drives a sender through random lists, bans and traffic, and knows which endpoints a call may go to.
@@ -306,7 +310,7 @@
 
     fn check(&mut self, actions: &[Action]) -> Result<(), TestCaseError> {
         for (id, endpoint) in sends(actions) {
-            prop_assert!(!self.stale, "sent by a stale list");
+            prop_assert!(!self.stale, "sent while the list is stale");
             let entry = self.list.get(&endpoint);
             let usable = entry.filter(|entry| entry.state == EndpointState::Serving);
             let destination = usable.map(|entry| entry.destination);
