--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -2,11 +2,12 @@
 
 use message_forwarder::simulator::{ServeError, serve};
 
-const BOOT: &str = "BOOT forwarder=3 nonce64=51 classes.count=2 classes.0.name=note classes.0.idempotency=pure \
-    classes.0.goalTime=3000.0 classes.0.deadline=16000.0 classes.0.worth=1.0 classes.0.lateShare=0.5 \
-    classes.1.name=order classes.1.idempotency=side_effect classes.1.goalTime=3000.0 classes.1.deadline=16000.0 \
-    discovery=ask familyInfo.batchByKind=1 familyInfo.kindApart=false familyInfo.slots=4 kinds=shop \
-    limits.maxAttempts=6 limits.openCap=20 peersTotal=2 report.fields=x0,x1 round=5.0 zone=a zones=a,b some.new=thing";
+const BOOT: &str = "BOOT forwarder=3 nonce64=51 classes.count=2 classes.0.name=note \
+    classes.0.idempotency=pure classes.0.goalTime=3000.0 classes.0.deadline=16000.0 classes.0.worth=1.0 \
+    classes.0.lateShare=0.5 classes.1.name=order classes.1.idempotency=side_effect classes.1.goalTime=3000.0 \
+    classes.1.deadline=16000.0 discovery=ask familyInfo.batchByKind=1 familyInfo.kindApart=false \
+    familyInfo.slots=4 kinds=shop limits.maxAttempts=6 limits.openCap=20 peersTotal=2 report.fields=x0,x1 \
+    round=5.0 zone=a zones=a,b some.new=thing";
 const LIST: &str = "CATALOG sheet=0 entries=1\n\
     ROW target=515 site=a flavor=shop belongsTo=57 availability=SERVING scale=1\n\
     ENDPOINTS forwarder=3 serial=41 mode=stale_copy sheet=0";
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_message_is_sent_and_an_unsafe_one_that_may_have_been_executed_fails() {
+fn a_sent_message_that_is_not_idempotent_fails_if_it_may_have_been_executed() {
     let end =
         "RETURNED forwarder=3 ref=r1 go=0 target=515 how=255 elapsed=10.0 finished=0 healthInfo=0.4,1.25";
     let (out, result) =
--- a/tests/simulator_adapter_history.rs
+++ b/tests/simulator_adapter_history.rs
@@ -1,6 +1,6 @@
 //! Long seeded histories of the simulator adapter, text in and text out, compared with digests recorded
 //! earlier. Two instances of different settings run through frames that follow from their replies: calls that
-//! were sent return, wake-ups come, subscriptions bring lists.
+//! were sent return, requested wake-ups arrive, and subscriptions are answered with lists.
 //!
 //! After an intended change of behaviour the panic message of each test shows the values to record.
 
