--- a/tests/support_history/adapter/endpoint_list.rs
+++ b/tests/support_history/adapter/endpoint_list.rs
@@ -11,17 +11,17 @@
         let rows = if mode == "patch" { 1 + self.generator.below(3) } else { ALL_ENDPOINTS };
         writeln!(frame, "CATALOG sheet={} entries={rows}", self.sheet).unwrap();
         for row in 0..rows {
-            let place = if mode == "patch" { self.generator.below(ALL_ENDPOINTS) } else { row };
-            self.write_row(place, mode != "patch", frame);
+            let position = if mode == "patch" { self.generator.below(ALL_ENDPOINTS) } else { row };
+            self.write_row(position, mode != "patch", frame);
         }
         let sheet = self.sheet;
         writeln!(frame, "ENDPOINTS forwarder={index} serial={sheet} mode={mode} sheet={sheet}").unwrap();
     }
 
-    fn write_row(&mut self, place: u64, mostly_serving: bool, frame: &mut String) {
-        let destination = 1 + place / ENDPOINTS_PER_DESTINATION;
-        let endpoint = destination * 10 + place % ENDPOINTS_PER_DESTINATION;
-        let site = ["a", "b", "c"][(place % 3) as usize];
+    fn write_row(&mut self, position: u64, mostly_serving: bool, frame: &mut String) {
+        let destination = 1 + position / ENDPOINTS_PER_DESTINATION;
+        let endpoint = destination * 10 + position % ENDPOINTS_PER_DESTINATION;
+        let site = ["a", "b", "c"][(position % 3) as usize];
         let flavor = KINDS[destination as usize - 1];
         let serving = mostly_serving && self.generator.per_mille(900);
         let other = self.generator.pick(&["SERVING", "DRAINING", "DELETED"]);
--- a/tests/support_history/adapter/messages.rs
+++ b/tests/support_history/adapter/messages.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Clients disconnect, streamed responses begin, and lines come that are to be ignored.
+    /// Clients disconnect, streamed responses begin, and lines are written that the adapter must ignore.
     pub(super) fn disconnect_and_stream(&mut self, index: usize, frame: &mut String) {
         let names: Vec<String> = self.instances[index].open.keys().cloned().collect();
         if !names.is_empty() && self.generator.per_mille(20) {
@@ -75,7 +75,7 @@
         let sent: Vec<String> = self.instances[index].calls.iter().map(|call| call.message.clone()).collect();
         if !sent.is_empty() && self.generator.per_mille(20) {
             let name = &sent[self.generator.below(sent.len() as u64) as usize];
-            // The response belongs to the client now: however the call ends, the message is finished.
+            // The client is receiving the response: the message is finished however the call ends.
             writeln!(frame, "UNDER_WAY forwarder={index} ref={name}").unwrap();
             self.instances[index].open.remove(name);
         }
--- a/tests/support_history/adapter/replies.rs
+++ b/tests/support_history/adapter/replies.rs
@@ -1,4 +1,4 @@
-//! What the simulator does with the replies of the adapter.
+//! How the simulator processes the replies of the adapter.
 
 use super::instance::Call;
 use super::instance::outcome_code::{
@@ -28,7 +28,7 @@
     NOT_SENT,
     CONNECT_FAILED,
 ];
-/// The same for destinations that can hardly be reached.
+/// Outcomes from which those of calls to unreachable destinations are drawn; a few calls still succeed.
 const OUTCOMES_IF_UNREACHABLE: &[u64] =
     &[ERROR, REJECTED, REJECTED, TIMED_OUT, CONNECT_FAILED, CONNECT_FAILED, RESET, NOT_SENT, DELIVERED];
 
--- a/tests/support_history/decisions/attempts.rs
+++ b/tests/support_history/decisions/attempts.rs
@@ -63,10 +63,10 @@
     }
 
     pub(super) fn cancel(&mut self, id: u64, number: usize) {
-        let late = self.generator.between(0, 50 * MILLISECOND);
+        let delay = self.generator.between(0, 50 * MILLISECOND);
         let is_cancelled = self.generator.per_mille(900);
         for attempt in self.attempts.iter_mut().filter(|a| a.id == id && a.number == number) {
-            attempt.ends_at = attempt.ends_at.min(self.now + late);
+            attempt.ends_at = attempt.ends_at.min(self.now + delay);
             attempt.ending = if is_cancelled { Ending::Cancelled } else { attempt.ending };
         }
     }
--- a/tests/support_history/decisions/driver.rs
+++ b/tests/support_history/decisions/driver.rs
@@ -1,4 +1,4 @@
-//! A host for the decision module that runs a seeded, legal history: every attempt that is sent ends once,
+//! A host for the decision module that runs a seeded, valid history: every attempt that is sent ends once,
 //! wake-ups come when they were requested, and destinations change their condition.
 
 use super::attempts::{Attempt, LastCall};
--- a/tests/support_history/decisions/environment.rs
+++ b/tests/support_history/decisions/environment.rs
@@ -1,4 +1,4 @@
-//! What changes around the sender: destinations, the endpoint list, operators and clients.
+//! Changes around the sender: of destinations and the endpoint list, and by operators and clients.
 
 use super::driver::History;
 use super::inputs::{Endpoint, Input, ListedState};
@@ -27,7 +27,7 @@
         let mut changed = Vec::new();
         for _ in 0..=self.generator.below(3) {
             let destination = self.generator.pick(self.scenario.destinations);
-            // One more than at the start: new endpoints come and go.
+            // The range has one endpoint more than the first list, so that endpoints are also added.
             let id = destination.id * 10 + self.generator.below(destination.endpoints + 1);
             let state = self.generator.pick(&[
                 ListedState::Serving,
--- a/tests/support_history/decisions/inputs.rs
+++ b/tests/support_history/decisions/inputs.rs
@@ -1,4 +1,5 @@
-//! What the recorded histories pass to the decision module and what it decides, in types of their own.
+//! The inputs of the recorded histories and the decisions that result, in types that do not depend on the
+//! package.
 
 pub(crate) const MILLISECOND: i64 = 1_000;
 pub(crate) const SECOND: i64 = 1_000_000;
--- a/tests/support_history/decisions/mod.rs
+++ b/tests/support_history/decisions/mod.rs
@@ -1,4 +1,5 @@
-//! The recorded histories of decisions: their scenarios, and a host that runs the decision module through them.
+//! The recorded histories of decisions: their scenarios, and a host that runs the decision module through
+//! them.
 
 mod attempts;
 mod call_plan;
--- a/tests/support_history/decisions/scenario.rs
+++ b/tests/support_history/decisions/scenario.rs
@@ -13,16 +13,19 @@
 /// How often something happens, in turns out of a thousand.
 #[derive(Clone, Copy)]
 pub(crate) struct Rates {
-    /// Messages are submitted; `burst` is the largest number at once.
+    /// Messages are submitted.
     pub submit: u64,
+    /// The largest number of messages that are submitted at once; this is not a rate.
     pub burst: u64,
     /// A destination changes its condition.
     pub condition: u64,
-    /// The list changes, or the subscription to it fails.
+    /// The list changes.
     pub list: u64,
+    /// The subscription to the list fails.
     pub watch_failed: u64,
-    /// Operators ban an endpoint, or end the first of the bans.
+    /// Operators ban an endpoint.
     pub ban: u64,
+    /// Operators end the ban of the endpoint with the lowest id.
     pub ban_end: u64,
     /// Operators drain the process, or resume it.
     pub drain: u64,
--- a/tests/support_history/decisions/submissions.rs
+++ b/tests/support_history/decisions/submissions.rs
@@ -5,7 +5,7 @@
 use super::settings::{IDEMPOTENT_ORDERED, NOT_IDEMPOTENT_ORDERED, TENANTS};
 use super::translation::Subject;
 
-/// The numbers of inherited calls are this far apart, beyond those of the calls of the subject.
+/// Inherited calls get numbers this far apart, beyond those of the calls of the subject.
 const INHERITED_CALL_STEP: u64 = 1_000_000;
 const UNLISTED_DESTINATION: u64 = 999;
 
@@ -108,7 +108,7 @@
         let predecessor = std::mem::replace(&mut self.subject, successor);
         self.wake_at = i64::MAX;
         self.last_call = None;
-        // With the removed endpoints: calls to them may still be in flight.
+        // The list includes the removed endpoints: calls to them may still be in flight.
         let list = self.endpoints.values().copied().collect();
         self.handle(Input::ListSnapshot(list));
         self.subject.learn_from(&predecessor, self.now);
--- a/tests/support_history/mod.rs
+++ b/tests/support_history/mod.rs
@@ -1,6 +1,7 @@
 //! Shared by the recorded histories: a seeded generator, a digest, and the comparison with recorded values.
 //!
-//! Nothing here names a type of the package. The hosts of the histories are in `decisions` and `adapter`.
+//! Nothing here depends on a type of the package. The hosts of the histories are in `decisions` and
+//! `adapter`.
 
 /// Turns (or frames) between two checkpoints of a digest.
 pub(crate) const CHECKPOINT_EVERY: usize = 500;
@@ -33,7 +34,7 @@
         low + self.below((high - low) as u64) as i64
     }
 
-    /// True in so many cases of a thousand.
+    /// True with a probability of `share` in a thousand.
     pub(crate) fn per_mille(&mut self, share: u64) -> bool {
         self.below(1000) < share
     }
@@ -65,15 +66,15 @@
     }
 }
 
-/// What a history is expected to come to.
+/// The expected result of a history.
 pub(crate) struct Expected {
-    /// How many actions (or reply lines) there are in all.
+    /// Number of all actions or reply lines.
     pub count: usize,
     /// The digest at each checkpoint; the last is that of the whole history.
     pub checkpoints: &'static [u64],
 }
 
-/// What a history came to.
+/// The result of a history.
 pub(crate) struct Recording {
     pub name: &'static str,
     pub count: usize,
@@ -88,8 +89,8 @@
         let complete = equal == self.checkpoints.len() && equal == expected.checkpoints.len();
         assert!(
             complete && self.count == expected.count,
-            "history {:?} differs from its recording between turns {} and {}: expected count {} and {:#018x?}, \
-             found Expected {{ count: {}, checkpoints: &{:#018x?} }}",
+            "history {:?} differs from its recording between turns {} and {}: expected count {} and \
+             {:#018x?}, found Expected {{ count: {}, checkpoints: &{:#018x?} }}",
             self.name,
             equal * CHECKPOINT_EVERY,
             (equal + 1) * CHECKPOINT_EVERY,
