--- a/tests/support_fleet/destination.rs
+++ b/tests/support_fleet/destination.rs
@@ -1,4 +1,4 @@
-//! One route with a capacity: an outage, and the budget of calls while it warms up.
+//! One route of limited capacity: an outage, and the budget of calls during the warm-up after it.
 
 use super::scenario::Scenario;
 use crate::common::{MS, SEC};
@@ -31,29 +31,29 @@
     ];
 }
 
-/// How a call ends if the sender does nothing.
+/// How a call ends unless it times out or the sender cancels it.
 pub(crate) struct Reply {
     pub outcome: Outcome,
     pub duration: Micros,
-    /// The call failed because of the outage.
+    /// The call arrived during the outage.
     pub during_outage: bool,
 }
 
 /// The first time at which more calls arrived than the budget of the warm-up allows.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Fall {
+pub(crate) struct Overload {
     /// Time since the end of the outage.
     pub after: Micros,
     pub calls: usize,
     pub limit: f64,
-    /// Of the calls, those of senders that had been told of the outage.
-    pub told: usize,
+    /// How many of the calls came from senders that had learned of the outage.
+    pub informed_calls: usize,
 }
 
-impl Fall {
-    /// Whether over two thirds of the calls came from senders that had been told of the outage.
-    pub(crate) fn breaks_the_rule(&self) -> bool {
-        3 * self.told > 2 * self.calls
+impl Overload {
+    /// Whether over two thirds of the calls came from senders that had learned of the outage.
+    pub(crate) fn is_caused_by_informed_senders(&self) -> bool {
+        3 * self.informed_calls > 2 * self.calls
     }
 }
 
@@ -64,10 +64,10 @@
     up_from: Micros,
     tokens: f64,
     refilled_at: Micros,
-    /// Calls since the end of the outage: when they arrived, and whether their sender had been told of it.
+    /// Calls since the end of the outage: when they arrived, and whether their sender had learned of it.
     arrivals: VecDeque<(Micros, bool)>,
-    pub fall: Option<Fall>,
-    pub most_of_limit: f64,
+    pub overload: Option<Overload>,
+    pub peak_budget_use: f64,
 }
 
 impl Route {
@@ -79,12 +79,12 @@
             tokens: 1.0,
             refilled_at: 0,
             arrivals: VecDeque::new(),
-            fall: None,
-            most_of_limit: 0.0,
+            overload: None,
+            peak_budget_use: 0.0,
         }
     }
 
-    /// Calls per second that it takes at a time.
+    /// Calls per second that the route accepts at the given time.
     fn capacity(&self, now: Micros) -> f64 {
         let Scenario { capacity, initial_capacity, warm_up_time, .. } = self.scenario;
         if now < self.up_from {
@@ -94,7 +94,7 @@
         capacity * (initial_capacity + (1.0 - initial_capacity) * progress)
     }
 
-    /// The number of calls in one window that a route with this capacity withstands.
+    /// The number of calls that the route withstands in one window.
     fn budget(&self, now: Micros) -> f64 {
         let window = self.scenario.overload_window as f64 / SEC as f64;
         let allowed = self.scenario.overload_factor * self.capacity(now) * window;
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Takes a call of a sender that has been told of the outage or not.
-    pub(crate) fn receive(&mut self, now: Micros, told: bool, generator: &mut Generator) -> Reply {
+    /// Receives a call; `informed` says whether its sender has learned of the outage.
+    pub(crate) fn receive(&mut self, now: Micros, informed: bool, generator: &mut Generator) -> Reply {
         if (self.down_from..self.up_from).contains(&now) {
             return self.reply_during_outage(now, generator);
         }
         if now >= self.up_from {
-            self.count(now, told);
+            self.count(now, informed);
         }
         let capacity = self.capacity(now);
         self.tokens += (now - self.refilled_at).max(0) as f64 / SEC as f64 * capacity;
@@ -139,20 +139,20 @@
     }
 
     /// Counts a call after the outage and compares the calls in the last window with the budget.
-    fn count(&mut self, now: Micros, told: bool) {
+    fn count(&mut self, now: Micros, informed: bool) {
         if now > self.up_from + self.scenario.warm_up_time {
             return;
         }
-        self.arrivals.push_back((now, told));
+        self.arrivals.push_back((now, informed));
         while self.arrivals.front().is_some_and(|(at, _)| now - at >= self.scenario.overload_window) {
             self.arrivals.pop_front();
         }
         let limit = self.budget(now);
         let calls = self.arrivals.len();
-        self.most_of_limit = self.most_of_limit.max(calls as f64 / limit);
-        if calls as f64 > limit && self.fall.is_none() {
-            let told = self.arrivals.iter().filter(|(_, told)| *told).count();
-            self.fall = Some(Fall { after: now - self.up_from, calls, limit, told });
+        self.peak_budget_use = self.peak_budget_use.max(calls as f64 / limit);
+        if calls as f64 > limit && self.overload.is_none() {
+            let informed_calls = self.arrivals.iter().filter(|(_, informed)| *informed).count();
+            self.overload = Some(Overload { after: now - self.up_from, calls, limit, informed_calls });
         }
     }
 }
--- a/tests/support_fleet/fleet.rs
+++ b/tests/support_fleet/fleet.rs
@@ -1,6 +1,6 @@
 //! All senders and routes on one clock.
 
-use super::destination::{Fall, Route};
+use super::destination::{Overload, Route};
 use super::scenario::Scenario;
 use super::sender::{Call, NewCall, Sender};
 use crate::common::{MS, SEC, TICK};
@@ -10,7 +10,7 @@
 
 /// When the senders start.
 const START: Micros = 100 * SEC;
-/// Time from a sender to a destination, and back.
+/// Time from a sender to a destination, and the time back.
 const TRANSIT: Micros = 2 * MS;
 
 /// What happens to a sender.
@@ -22,13 +22,13 @@
     Ban(bool),
 }
 
-/// What one run came to.
+/// The result of one run.
 #[derive(Debug)]
 pub(crate) struct FleetResult {
-    /// The first fall of each route that fell.
-    pub falls: Vec<Fall>,
-    /// The largest part of the budget that was used in any window.
-    pub most_of_limit: f64,
+    /// The first overload of each route that was overloaded.
+    pub overloads: Vec<Overload>,
+    /// The largest fraction of the budget that was used in any window.
+    pub peak_budget_use: f64,
     pub delivered: usize,
 }
 
@@ -46,7 +46,7 @@
 impl Fleet {
     pub(crate) fn new(scenario: Scenario) -> Self {
         let mut generator = Generator::new(scenario.seed ^ 0x5eed);
-        let down_from = START + scenario.quiet + scenario.idle;
+        let down_from = START + scenario.normal_time + scenario.idle;
         let senders: Vec<Sender> = (0..scenario.senders)
             .map(|_| {
                 let exponent = generator.between(-1000, 1001) as f64 / 1000.0;
@@ -73,7 +73,7 @@
 
     fn schedule_disruptions(&mut self, down_from: Micros, sender: usize) {
         let up_from = down_from + self.scenario.outage_length;
-        if self.generator.per_mille(self.scenario.restarted) {
+        if self.generator.per_mille(self.scenario.restarted_per_mille) {
             let at = self.generator.between(down_from, up_from);
             self.schedule(at, sender, Occurrence::Restart);
         }
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Runs until the destinations are warm.
+    /// Runs until a route is overloaded or the warm-up is over.
     pub(crate) fn run(mut self) -> FleetResult {
-        let Scenario { quiet, idle, outage_length, warm_up_time, .. } = self.scenario;
-        let end = START + quiet + idle + outage_length + warm_up_time;
+        let Scenario { normal_time, idle, outage_length, warm_up_time, .. } = self.scenario;
+        let end = START + normal_time + idle + outage_length + warm_up_time;
         while let Some((now, occurrences)) = self.schedule.pop_first().filter(|(now, _)| *now < end) {
             self.turns(now, occurrences);
-            if self.routes.iter().any(|route| route.fall.is_some()) {
+            if self.routes.iter().any(|route| route.overload.is_some()) {
                 break;
             }
         }
         FleetResult {
-            falls: self.routes.iter().filter_map(|route| route.fall).collect(),
-            most_of_limit: self.routes.iter().map(|route| route.most_of_limit).fold(0.0, f64::max),
+            overloads: self.routes.iter().filter_map(|route| route.overload).collect(),
+            peak_budget_use: self.routes.iter().map(|route| route.peak_budget_use).fold(0.0, f64::max),
             delivered: self.senders.iter().map(|sender| sender.delivered).sum(),
         }
     }
@@ -111,7 +111,7 @@
         let rate = self.scenario.message_rate() * self.senders[sender].weight / self.total_weight;
         let unit = (self.generator.below(1 << 32) as f64 + 1.0) / (1u64 << 32) as f64;
         let at = now + (-unit.ln() / rate * SEC as f64) as Micros;
-        let idle_from = START + self.scenario.quiet;
+        let idle_from = START + self.scenario.normal_time;
         let idle_until = idle_from + self.scenario.idle;
         let at = if (idle_from..idle_until).contains(&at) { idle_until + at - idle_from } else { at };
         self.schedule(at.max(now + TICK), sender, Occurrence::Submit);
@@ -172,8 +172,8 @@
     fn start_call(&mut self, now: Micros, sender: usize, call: NewCall) {
         let NewCall { endpoint, timeout, attempts } = call;
         let route = self.senders[sender].route_of(endpoint);
-        let told = self.senders[sender].is_told(route);
-        let reply = self.routes[route].receive(now + TRANSIT, told, &mut self.generator);
+        let informed = self.senders[sender].knows_outage_of(route);
+        let reply = self.routes[route].receive(now + TRANSIT, informed, &mut self.generator);
         let during_outage = reply.during_outage;
         let number = self.next_call;
         self.next_call += 1;
--- a/tests/support_fleet/mod.rs
+++ b/tests/support_fleet/mod.rs
@@ -1,7 +1,8 @@
-//! A fleet of decision modules that call destinations with a capacity, through an outage and the recovery from it.
+//! A fleet of decision modules that call destinations of limited capacity, through an outage and the recovery
+//! from it.
 //!
-//! [`destination`] counts what arrives while it is cold, [`sender`] hosts one decision module, and [`fleet`] runs all
-//! of them on one clock.
+//! [`destination`] counts the calls that arrive during the warm-up, [`sender`] hosts one decision module, and
+//! [`fleet`] runs all senders on one clock.
 #![allow(dead_code)]
 
 pub(crate) mod destination;
--- a/tests/support_fleet/scenario.rs
+++ b/tests/support_fleet/scenario.rs
@@ -1,18 +1,19 @@
-//! What happens in one run of the fleet, and the random choice of it.
+//! The parameters of one run of the fleet, and their random choice.
 
 use super::destination::OutageKind;
 use crate::common::{MS, SEC, class, settings};
 use crate::support_history::Generator;
 use message_forwarder::interface::*;
 
-/// Kinds of destinations, by index: shared routes, separate routes, shared routes with calls of up to five messages.
+/// Kinds of destinations, by index: shared routes, separate routes, and shared routes with calls of up to
+/// five messages.
 pub(crate) const SHARED: usize = 0;
 pub(crate) const SEPARATE: usize = 1;
 pub(crate) const BATCHED: usize = 2;
 /// Messages in a call to a destination of the kind [`BATCHED`].
 pub(crate) const BATCH: usize = 5;
 
-/// What happens in one run.
+/// The parameters of one run.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Scenario {
     pub seed: u64,
@@ -26,24 +27,26 @@
     pub listed_factor: f64,
     /// Messages per second of all senders, as a multiple of the capacity of all routes.
     pub load: f64,
-    /// Senders get between 1 / `unevenness` and `unevenness` times the same weight of the messages.
+    /// The weights of the senders, by which the messages are divided among them, are between 1 / `unevenness`
+    /// and `unevenness`.
     pub unevenness: f64,
-    /// Index of the class of the messages; the number of classes stands for all of them.
+    /// Index of the class of the messages; if it is the number of classes, the class of each message is
+    /// random.
     pub class: usize,
     pub latency_objective: Micros,
     pub call_slots: usize,
     pub outage: OutageKind,
-    /// Time from the start of the senders to the outage.
-    pub quiet: Micros,
-    /// The senders get no message for so long before the outage.
+    /// Time with messages from the start of the senders on. The idle time follows, and then the outage.
+    pub normal_time: Micros,
+    /// How long the senders get no message right before the outage.
     pub idle: Micros,
     pub outage_length: Micros,
     /// Retry-After of rejections, if they have one.
     pub retry_after: Option<Micros>,
     /// Responses report the capacity.
     pub reports: bool,
-    /// How many of a thousand senders lose all that they have learned during the outage.
-    pub restarted: u64,
+    /// How many of a thousand senders restart during the outage and lose all that they have learned.
+    pub restarted_per_mille: u64,
     /// Operators ban the endpoints during the outage, and end the bans around its end.
     pub banned: bool,
     pub overload_factor: f64,
@@ -60,7 +63,7 @@
         let capacity = generator.pick(&[0.5, 1.0, 2.0, 5.0, 10.0, 20.0, 50.0, 100.0, 200.0]);
         let weights = [EndpointWeights::Off, EndpointWeights::Nominal, EndpointWeights::Approximate];
         let weights = generator.pick(&weights);
-        let is_rough = weights == EndpointWeights::Approximate;
+        let is_approximate = weights == EndpointWeights::Approximate;
         Scenario {
             seed,
             senders,
@@ -68,19 +71,19 @@
             endpoints: generator.pick(&[1, 2, 4]),
             capacity,
             weights,
-            listed_factor: if is_rough { generator.pick(&[0.5, 0.67, 1.0, 1.5]) } else { 1.0 },
+            listed_factor: if is_approximate { generator.pick(&[0.5, 0.67, 1.0, 1.5]) } else { 1.0 },
             load: generator.pick(&[0.3, 0.6, 0.9, 1.2, 2.0]),
             unevenness: generator.pick(&[1.0, 2.0, 4.0]),
             class: generator.below(4) as usize,
             latency_objective: generator.pick(&[SEC, 3 * SEC]),
             call_slots: generator.pick(&[4, 8, 16, 64]),
             outage,
-            quiet: generator.pick(&[2 * SEC, 10 * SEC, 30 * SEC]),
+            normal_time: generator.pick(&[2 * SEC, 10 * SEC, 30 * SEC]),
             idle: generator.pick(&[0, 0, 0, 60 * SEC]),
             outage_length: generator.pick(&[2 * SEC, 5 * SEC, 12 * SEC, 40 * SEC]),
             retry_after: generator.pick(&[None, Some(200 * MS), Some(SEC), Some(5 * SEC)]),
             reports: generator.per_mille(250),
-            restarted: generator.pick(&[0, 0, 300, 1000]),
+            restarted_per_mille: generator.pick(&[0, 0, 300, 1000]),
             banned: generator.per_mille(150),
             overload_factor: generator.pick(&[1.5, 2.0, 3.0]),
             overload_window: generator.pick(&[SEC, 2 * SEC, 4 * SEC]),
--- a/tests/support_fleet/sender.rs
+++ b/tests/support_fleet/sender.rs
@@ -19,7 +19,7 @@
     pub during_outage: bool,
 }
 
-/// What a message needs if it is taken over by a restarted sender.
+/// What a restarted sender takes over of an open message.
 struct OpenMessage {
     class: usize,
     expires_at: Micros,
@@ -47,10 +47,10 @@
     balancer: Balancer,
     open: BTreeMap<MessageId, OpenMessage>,
     pub calls: BTreeMap<u64, Call>,
-    /// Routes whose outage it has been told of.
-    told: BTreeSet<usize>,
+    /// Routes whose outage the sender has learned of.
+    known_outages: BTreeSet<usize>,
     actions: Vec<Action>,
-    /// Its part of the messages.
+    /// The part of the messages that the sender gets, relative to the weights of the other senders.
     pub weight: f64,
     pub delivered: usize,
 }
@@ -62,16 +62,16 @@
             balancer: Balancer::new(scenario.settings(), seed),
             open: BTreeMap::new(),
             calls: BTreeMap::new(),
-            told: BTreeSet::new(),
+            known_outages: BTreeSet::new(),
             actions: Vec::new(),
             weight,
             delivered: 0,
         };
-        sender.list(now);
+        sender.receive_list(now);
         sender
     }
 
-    fn list(&mut self, now: Micros) {
+    fn receive_list(&mut self, now: Micros) {
         let weight = self.scenario.capacity * self.scenario.listed_factor;
         let endpoints = 1..=self.scenario.endpoints;
         let list = endpoints.map(|id| EndpointEntry { weight, ..entry(id, DESTINATION, self.scenario.kind) });
@@ -89,10 +89,10 @@
         self.event(now, Event::Submit(submission(id, class, DESTINATION, now + CLIENT_TIMEOUT)));
     }
 
-    /// The sender starts anew: it knows its open messages and nothing else. Its calls in flight are lost.
+    /// Restarts the sender, which keeps its open messages and nothing else. Its calls in flight are lost.
     pub(crate) fn restart(&mut self, now: Micros, seed: u64) {
         self.balancer = Balancer::new(self.scenario.settings(), seed);
-        self.told.clear();
+        self.known_outages.clear();
         self.actions.clear();
         for call in std::mem::take(&mut self.calls).into_values() {
             for (id, _) in call.attempts {
@@ -102,7 +102,7 @@
                 }
             }
         }
-        self.list(now);
+        self.receive_list(now);
         let ids: Vec<MessageId> = self.open.keys().copied().collect();
         for id in ids {
             let message = &self.open[&id];
@@ -116,11 +116,11 @@
     pub(crate) fn end_call(&mut self, now: Micros, call: u64, outcome: Outcome) {
         let Some(call) = self.calls.remove(&call) else { return };
         if call.during_outage && outcome != Outcome::Delivered {
-            self.told.insert(self.route_of(call.endpoint));
+            self.known_outages.insert(self.route_of(call.endpoint));
         }
         let report = LoadReport { limit: Some(self.scenario.capacity) };
-        let answered = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. });
-        let report = Some(report).filter(|_| self.scenario.reports && answered);
+        let responded = matches!(outcome, Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. });
+        let report = Some(report).filter(|_| self.scenario.reports && responded);
         for (id, attempt) in call.attempts {
             if outcome == Outcome::Delivered {
                 self.open.remove(&id);
@@ -156,7 +156,7 @@
         result
     }
 
-    /// Attempts of one turn to one endpoint travel in one call, as far as there is room.
+    /// Attempts of one turn to one endpoint travel in one call, up to the batch size.
     fn add_attempt(&mut self, result: &mut TurnResult, id: MessageId, endpoint: EndpointId, timeout: Micros) {
         let message = self.open.get_mut(&id).expect("only open messages are sent");
         let attempt = (id, message.history.attempts);
@@ -174,7 +174,7 @@
         if self.scenario.routes() > 1 { endpoint as usize - 1 } else { 0 }
     }
 
-    pub(crate) fn is_told(&self, route: usize) -> bool {
-        self.told.contains(&route)
+    pub(crate) fn knows_outage_of(&self, route: usize) -> bool {
+        self.known_outages.contains(&route)
     }
 }
