--- a/src/forwarder/endpoint_client/exchange/tests.rs
+++ b/src/forwarder/endpoint_client/exchange/tests.rs
@@ -106,9 +106,9 @@
     let mut connection = CallConnection::new(connector, address, TIMEOUT, None);
     let request = Request::post("/hook").body(Full::new(Bytes::from(BODY))).expect("a valid request");
     let response = connection.exchange(request, &guard).await;
-    let is_begun = guard.is_begun();
+    let has_begun = guard.has_begun();
     fs::remove_dir_all(&folder).expect("the folder exists");
-    (response.map(|response| response.status), is_begun)
+    (response.map(|response| response.status), has_begun)
 }
 
 /// Splits a text into reads of one byte each.
@@ -119,16 +119,16 @@
 #[tokio::test]
 async fn a_local_failure_to_connect_is_reported_as_not_sent() {
     for error in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EADDRNOTAVAIL, libc::EINTR] {
-        let (response, is_begun) = call(Err(error)).await;
-        assert!(matches!(response, Err(NoResponse::NotSent)) && !is_begun, "{error}: {response:?}");
+        let (response, has_begun) = call(Err(error)).await;
+        assert!(matches!(response, Err(NoResponse::NotSent)) && !has_begun, "{error}: {response:?}");
     }
 }
 
 #[tokio::test]
 async fn a_connection_refused_by_the_endpoint_or_the_network_is_reported_as_not_connected() {
     for error in [libc::ECONNREFUSED, libc::ETIMEDOUT, libc::ENETUNREACH, libc::EHOSTUNREACH] {
-        let (response, is_begun) = call(Err(error)).await;
-        assert!(matches!(response, Err(NoResponse::NotConnected)) && !is_begun, "{error}: {response:?}");
+        let (response, has_begun) = call(Err(error)).await;
+        assert!(matches!(response, Err(NoResponse::NotConnected)) && !has_begun, "{error}: {response:?}");
     }
 }
 
@@ -146,8 +146,8 @@
 async fn a_connection_that_breaks_after_the_call_was_written_leaves_open_whether_it_was_executed() {
     for error in [libc::ETIMEDOUT, libc::EHOSTUNREACH, libc::ENETUNREACH, libc::ECONNRESET] {
         let stream = ScriptedStream { reads: [Err(error)].into(), ..ScriptedStream::default() };
-        let (response, is_begun) = call(Ok(stream)).await;
-        assert!(matches!(response, Err(NoResponse::Interrupted)) && is_begun, "{error}: {response:?}");
+        let (response, has_begun) = call(Ok(stream)).await;
+        assert!(matches!(response, Err(NoResponse::Interrupted)) && has_begun, "{error}: {response:?}");
         let mut reads = bytewise("HTTP/1.1 2");
         reads.push_back(Err(error));
         let (response, _) = call(Ok(ScriptedStream { reads, ..ScriptedStream::default() })).await;
--- a/src/forwarder/endpoint_client/pending_items.rs
+++ b/src/forwarder/endpoint_client/pending_items.rs
@@ -65,7 +65,7 @@
     /// before the first byte, it is not retried on another connection.
     fn withhold_write(&mut self, guard: &WriteGuard) {
         guard.withhold();
-        if !guard.is_begun() {
+        if !guard.has_begun() {
             self.end_where(Outcome::NotSent, |_| true);
         }
     }
@@ -80,7 +80,7 @@
     /// never written, the results say so, whatever ended the attempts: the messages were certainly not
     /// executed.
     pub(super) fn into_parts(mut self, guard: &WriteGuard) -> (Vec<CallItem>, Vec<AttemptResult>) {
-        if !guard.is_begun() {
+        if !guard.has_begun() {
             self.ended.iter_mut().for_each(mark_never_written);
         }
         (self.waiting, self.ended)
--- a/src/forwarder/endpoint_client/write_guard/mod.rs
+++ b/src/forwarder/endpoint_client/write_guard/mod.rs
@@ -53,7 +53,7 @@
     }
 
     /// Whether the call may have been written, at least in part.
-    pub(crate) fn is_begun(&self) -> bool {
+    pub(crate) fn has_begun(&self) -> bool {
         self.write_begun.load(Ordering::Relaxed)
     }
 
@@ -64,7 +64,7 @@
         if self.write_withheld.load(Ordering::Relaxed) || Instant::now() >= self.send_before {
             return false;
         }
-        if self.is_begun() {
+        if self.has_begun() {
             return true;
         }
         if let Err(error) = self.record_attempts() {
--- a/src/forwarder/endpoint_client/write_guard/tests.rs
+++ b/src/forwarder/endpoint_client/write_guard/tests.rs
@@ -17,11 +17,11 @@
     let now = Instant::now();
     // `send_before` is checked even if no timer has fired.
     let late = guard(now);
-    assert!(!late.try_begin() && !late.is_begun());
+    assert!(!late.try_begin() && !late.has_begun());
     let length = || fs::metadata(folder.join("journal")).map_or(0, |file| file.len());
     assert_eq!(length(), 0, "no attempt is recorded");
     let early = guard(now + Duration::from_secs(60));
-    assert!(early.try_begin() && early.is_begun() && length() > 0);
+    assert!(early.try_begin() && early.has_begun() && length() > 0);
     // Nothing more is written once the write is withheld, even if it has begun.
     early.withhold();
     assert!(!early.try_begin());
--- a/src/forwarder/runtime/call_in_flight.rs
+++ b/src/forwarder/runtime/call_in_flight.rs
@@ -39,7 +39,7 @@
     /// Whether the call may have been written, at least in part.
     pub(super) fn may_be_written(&self) -> bool {
         match &self.process {
-            CallProcess::This { guard, .. } => guard.is_begun(),
+            CallProcess::This { guard, .. } => guard.has_begun(),
             CallProcess::Predecessor => true,
         }
     }
