--- a/src/forwarder/runtime/call_reports.rs
+++ b/src/forwarder/runtime/call_reports.rs
@@ -1,7 +1,7 @@
 //! Handles the results of calls.
 
 use super::Runtime;
-use super::calls::EndedAttempt;
+use super::calls::RemovedAttempt;
 use crate::forwarder::http::Connection;
 use crate::forwarder::journal::{FinalOutcome, Record};
 use crate::forwarder::messages::call_report::{AttemptResult, CallReport, IdleReuse};
@@ -60,7 +60,7 @@
 
     /// Handles the end of an attempt of this process or of the predecessor.
     pub(super) fn end_attempt(&mut self, now: Micros, address: SocketAddr, result: AttemptResult) {
-        let Some(EndedAttempt { sent_at, call_ended, .. }) = self.calls.end_attempt(result.key()) else {
+        let Some(RemovedAttempt { sent_at, call_ended, .. }) = self.calls.end_attempt(result.key()) else {
             return;
         };
         let latency = Duration::from_micros(u64::try_from(now - sent_at).unwrap_or(0));
--- a/src/forwarder/runtime/calls.rs
+++ b/src/forwarder/runtime/calls.rs
@@ -49,7 +49,7 @@
 }
 
 /// An attempt that has just ended.
-pub(super) struct EndedAttempt {
+pub(super) struct RemovedAttempt {
     pub(super) sent_at: Micros,
     /// The client's id of the message.
     pub(super) message: String,
@@ -140,10 +140,10 @@
     }
 
     /// Removes an attempt that has ended, and its call if this was the last attempt.
-    pub(super) fn end_attempt(&mut self, key: AttemptKey) -> Option<EndedAttempt> {
+    pub(super) fn end_attempt(&mut self, key: AttemptKey) -> Option<RemovedAttempt> {
         let AttemptInFlight { sent_at, call, message } = self.attempts.remove(&key)?;
         let call_ended = self.end_attempt_of_call(call);
-        Some(EndedAttempt { sent_at, message, call_ended })
+        Some(RemovedAttempt { sent_at, message, call_ended })
     }
 
     /// Counts an attempt of the call as ended. Returns whether the call has ended.
