--- a/src/forwarder/departed_endpoints/mod.rs
+++ b/src/forwarder/departed_endpoints/mod.rs
@@ -103,7 +103,7 @@
             complete: known.complete,
             endpoints: known.endpoints.iter().map(update).collect(),
             unreadable: known.unreadable,
-            unreadable_uids: known.unreadable_uids.clone(),
+            invalid_record_uids: known.invalid_record_uids.clone(),
         }
     }
 
@@ -122,7 +122,7 @@
         for record in not_in_service {
             self.add(&record.uid);
         }
-        list.unreadable_uids.iter().for_each(|uid| self.add(uid));
+        list.invalid_record_uids.iter().for_each(|uid| self.add(uid));
         if list.complete {
             let present: HashSet<&str> = list.endpoints.iter().map(|record| record.uid.as_str()).collect();
             previously_in_service.filter(|uid| !present.contains(uid)).for_each(|uid| self.add(uid));
--- a/src/forwarder/messages/endpoint_list.rs
+++ b/src/forwarder/messages/endpoint_list.rs
@@ -18,7 +18,7 @@
     /// The number of records that could not be parsed. Such records do not affect the others.
     pub(crate) unreadable: usize,
     /// The ids of the records that could not be parsed, except those whose id is missing or invalid too.
-    pub(crate) unreadable_uids: Vec<String>,
+    pub(crate) invalid_record_uids: Vec<String>,
 }
 
 /// The JSON form of the list.
@@ -47,7 +47,7 @@
     fn add_unreadable(&mut self, record: &Value, error: &serde_json::Error) {
         eprintln!("discovery: cannot parse a record of the endpoint list: {error}");
         self.unreadable += 1;
-        self.unreadable_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
+        self.invalid_record_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
     }
 }
 
--- a/src/forwarder/runtime/endpoint_list.rs
+++ b/src/forwarder/runtime/endpoint_list.rs
@@ -37,7 +37,7 @@
             return Vec::new();
         }
         let known =
-            list.unreadable_uids.iter().filter_map(|uid| self.endpoints.get(self.endpoints.number_of(uid)?));
+            list.invalid_record_uids.iter().filter_map(|uid| self.endpoints.get(self.endpoints.number_of(uid)?));
         known
             .filter(|endpoint| endpoint.record.state == LifecycleState::InService)
             .map(|endpoint| EndpointRecord { state: LifecycleState::Terminating, ..endpoint.record.clone() })
