--- a/src/forwarder/departed_endpoints/mod.rs
+++ b/src/forwarder/departed_endpoints/mod.rs
@@ -102,7 +102,7 @@
             revision: known.revision,
             complete: known.complete,
             endpoints: known.endpoints.iter().map(update).collect(),
-            unreadable: known.unreadable,
+            invalid_records: known.invalid_records,
             invalid_record_uids: known.invalid_record_uids.clone(),
         }
     }
--- a/src/forwarder/discovery/follower/tests.rs
+++ b/src/forwarder/discovery/follower/tests.rs
@@ -15,14 +15,14 @@
 fn changes_suffice_after_a_usable_list() {
     assert_eq!(next_revision(watch(4), &changes(5)), Some(5));
     assert_eq!(next_revision(watch(4), &changes(4)), Some(4));
-    let complete = EndpointList { complete: true, unreadable: 1, ..changes(2) };
+    let complete = EndpointList { complete: true, invalid_records: 1, ..changes(2) };
     assert_eq!(next_revision(watch(4), &complete), Some(2));
     assert_eq!(next_revision(ListQuery::Complete, &complete), Some(2));
 }
 
 #[test]
 fn the_complete_list_is_needed_after_an_unreadable_change_or_a_lower_revision() {
-    assert_eq!(next_revision(watch(4), &EndpointList { unreadable: 1, ..changes(5) }), None);
+    assert_eq!(next_revision(watch(4), &EndpointList { invalid_records: 1, ..changes(5) }), None);
     assert_eq!(next_revision(watch(4), &changes(3)), None);
 }
 
@@ -38,6 +38,6 @@
     // The time at which the service wrote the response is not known.
     let complete = EndpointList { complete: true, ..changes(5) };
     assert_eq!(current_at(call(ListQuery::Complete), &complete, now), started_at);
-    let drained = EndpointList { unreadable: 1, ..changes(5) };
+    let drained = EndpointList { invalid_records: 1, ..changes(5) };
     assert_eq!(current_at(call(watch(4)), &drained, now), started_at);
 }
--- a/src/forwarder/discovery/list_response.rs
+++ b/src/forwarder/discovery/list_response.rs
@@ -30,12 +30,12 @@
         ListQuery::Complete => false,
     };
     // A changed record that could not be parsed may be a drain.
-    (!is_restarted && list.unreadable == 0).then_some(list.revision)
+    (!is_restarted && list.invalid_records == 0).then_some(list.revision)
 }
 
 /// Whether the service has responded that nothing changed.
 fn has_no_changes(list: &EndpointList) -> bool {
-    !list.complete && list.endpoints.is_empty() && list.unreadable == 0
+    !list.complete && list.endpoints.is_empty() && list.invalid_records == 0
 }
 
 /// The time from the moment at which the service could have sent the list to its arrival; zero if it is not
--- a/src/forwarder/messages/endpoint_list.rs
+++ b/src/forwarder/messages/endpoint_list.rs
@@ -16,7 +16,7 @@
     /// The records that could be parsed.
     pub(crate) endpoints: Vec<EndpointRecord>,
     /// The number of records that could not be parsed. Such records do not affect the others.
-    pub(crate) unreadable: usize,
+    pub(crate) invalid_records: usize,
     /// The ids of the records that could not be parsed, except those whose id is missing or invalid too.
     pub(crate) invalid_record_uids: Vec<String>,
 }
@@ -46,7 +46,7 @@
 impl EndpointList {
     fn add_unreadable(&mut self, record: &Value, error: &serde_json::Error) {
         eprintln!("discovery: cannot parse a record of the endpoint list: {error}");
-        self.unreadable += 1;
+        self.invalid_records += 1;
         self.invalid_record_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
     }
 }
--- a/src/forwarder/messages/endpoint_list/format_tests.rs
+++ b/src/forwarder/messages/endpoint_list/format_tests.rs
@@ -44,7 +44,7 @@
 #[test]
 fn invalid_records_are_counted_and_do_not_affect_the_others() {
     let list: EndpointList = serde_json::from_str(LIST).expect("the list is valid except for some records");
-    assert_eq!((list.revision, list.complete, list.unreadable), (42, true, 8));
+    assert_eq!((list.revision, list.complete, list.invalid_records), (42, true, 8));
     assert_eq!(json(&list.endpoints), json(&expected_records()));
     assert!(
         list.endpoints
