--- a/src/forwarder/discovery/follower.rs
+++ b/src/forwarder/discovery/follower.rs
@@ -265,7 +265,7 @@
             }
             return Ok(());
         }
-        if self.calls.is_to_present_address(call) {
+        if self.calls.is_to_current_address(call) {
             self.record_list(call, &list);
         }
         log_list(call, &list, Instant::now());
@@ -334,7 +334,7 @@
         if failure.is_rejection() {
             self.age.record_response_end(call.number);
         }
-        if !self.calls.is_to_present_address(call) {
+        if !self.calls.is_to_current_address(call) {
             return;
         }
         let is_down = self.record_service_state(call, failure, now);
--- a/src/forwarder/discovery/open_calls.rs
+++ b/src/forwarder/discovery/open_calls.rs
@@ -149,7 +149,7 @@
     pub(super) fn complete(&mut self, finished: FinishedCall) -> (ListCall, Result<EndpointList, PollError>) {
         let FinishedCall { call, result, client } = finished;
         self.open.retain(|open| open.call.number != call.number);
-        if result.is_ok() && self.is_to_present_address(call) {
+        if result.is_ok() && self.is_to_current_address(call) {
             self.idle_client = Some(client);
         }
         (call, result)
@@ -163,7 +163,7 @@
     }
 
     /// Whether the call was made to the present address.
-    pub(super) fn is_to_present_address(&self, call: ListCall) -> bool {
+    pub(super) fn is_to_current_address(&self, call: ListCall) -> bool {
         call.number >= self.first_number
     }
 }
