--- a/src/forwarder/runtime/shutdown.rs
+++ b/src/forwarder/runtime/shutdown.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Whether the server may stop reading requests when `elapsed` has passed since SIGTERM.
+/// Whether the phase may become [`LifecyclePhase::Stopped`] when `elapsed` has passed since SIGTERM.
 fn may_stop_serving(elapsed: Duration, has_attempts: bool, has_messages: bool) -> bool {
     let all_calls_ended = !has_attempts && (elapsed >= CALL_START_PERIOD || !has_messages);
     elapsed >= CALL_COMPLETION_PERIOD || (elapsed >= CLIENT_GRACE_PERIOD && all_calls_ended)
--- a/src/forwarder/server/lifecycle.rs
+++ b/src/forwarder/server/lifecycle.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::AtomicUsize;
 use std::time::Duration;
 
-/// How long a connection has no open request before it is closed in [`LifecyclePhase::Draining`]. By then the
-/// load balancer has noticed that the process is not ready, and requests in transit have arrived.
+/// How long a connection may have no open request before it is closed in [`LifecyclePhase::Draining`]. By then
+/// the load balancer has noticed that the process is not ready, and requests in transit have arrived.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The phases of the process, from normal operation to its end.
@@ -13,13 +13,14 @@
     /// Normal operation.
     Serving,
     /// The readiness check fails, so that the load balancer sends clients to other processes. Requests are
-    /// still served.
+    /// still served. From this phase on, each reply is the last on its connection.
     Draining,
-    /// Each reply is the last on its connection.
+    /// The process has received SIGTERM. It still accepts connections and serves requests.
     Closing,
     /// A successor takes over. This process accepts no connections and closes idle ones.
     HandingOver,
-    /// The process accepts no new connections and no new requests.
+    /// The process accepts only the connections that are already queued, and none if a successor has taken
+    /// over. It closes idle connections, and completes requests that have begun to arrive.
     Stopped,
 }
 
--- a/src/forwarder/server/rejection.rs
+++ b/src/forwarder/server/rejection.rs
@@ -32,7 +32,7 @@
 }
 
 /// Discards unread bytes and returns their number. Closing a socket with unread bytes would reset the
-/// connection and discard the response.
+/// connection and discard the reply.
 fn discard_unread(stream: &TcpStream) -> usize {
     let socket = SockRef::from(stream);
     let mut discarded_bytes = 0;
@@ -40,7 +40,7 @@
     while discarded_bytes < MAX_DISCARDED_BYTES {
         match (&*socket).read(&mut buffer) {
             Ok(length) if length > 0 => discarded_bytes += length,
-            // Nothing is left to read, or reading failed. After an error the response may be lost.
+            // Nothing is left to read, or reading failed. After an error the reply may be lost.
             _ => break,
         }
     }
@@ -48,6 +48,6 @@
 }
 
 fn write_rejection(stream: &TcpStream) {
-    // The response fits into the buffer of the socket, unless the client has stopped reading its replies.
+    // The reply fits into the buffer of the socket, unless the client has stopped reading its replies.
     let _ = (&*SockRef::from(stream)).write(RAW_REJECTION);
 }
