--- a/src/forwarder/clock/tests.rs
+++ b/src/forwarder/clock/tests.rs
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_file_that_cannot_be_read_or_written_stops_no_process() {
+async fn if_the_file_cannot_be_read_or_written_the_wall_clock_is_used() {
     let machine = Machine::new();
     fs::create_dir(machine.clock_file()).expect("a writable folder");
     let mut timeline = machine.start_process();
--- a/src/forwarder/discovery/list_age.rs
+++ b/src/forwarder/discovery/list_age.rs
@@ -85,7 +85,7 @@
 const LARGE_FLEET_RESPONSE_ALLOWANCE: Duration = Duration::from_millis(2500);
 /// The allowance for a response is this multiple of the usual response time of the service.
 const RESPONSE_ALLOWANCE_FACTOR: u32 = 2;
-/// The least interval between hedges to a shared service.
+/// The minimum interval between hedges to a shared service.
 const SHARED_HEDGE_INTERVAL: Duration = Duration::from_secs(1);
 /// The interval between hedges to a local agent. It is short, because the list must include its changes as
 /// soon as the agent responds again.
--- a/src/forwarder/discovery/list_age/tests.rs
+++ b/src/forwarder/discovery/list_age/tests.rs
@@ -10,7 +10,7 @@
 const MAX_BACKOFF_JITTER: f64 = 1.5;
 
 /// The longest time from the start of a watch without a response to the start of the next call.
-fn latest_call_after_unanswered_watch(bounds: &ListAgeBounds, load: &ServiceLoad) -> Duration {
+fn latest_call_after_watch_without_response(bounds: &ListAgeBounds, load: &ServiceLoad) -> Duration {
     bounds.overdue_after(bounds.watch_duration(load), load)
 }
 
@@ -52,13 +52,13 @@
 
 proptest! {
     #[test]
-    fn a_call_follows_an_unanswered_watch_before_the_list_becomes_stale(
+    fn a_call_follows_a_watch_without_a_response_before_the_list_becomes_stale(
         settings in any_settings(),
         load in any_load(),
     ) {
         let bounds = ListAgeBounds::new(&settings);
         let wait = bounds.watch_duration(&load);
-        let latest = latest_call_after_unanswered_watch(&bounds, &load);
+        let latest = latest_call_after_watch_without_response(&bounds, &load);
         prop_assert!(latest < bounds.usable_during_watch(wait), "{latest:?}");
         // Short watches leave the service time to respond as well.
         if !bounds.has_long_watches() {
@@ -67,7 +67,7 @@
     }
 
     #[test]
-    fn a_list_is_used_no_longer_than_an_unanswered_watch_may_miss_a_change(
+    fn a_list_is_used_no_longer_than_a_watch_without_a_response_may_miss_a_change(
         settings in any_settings(),
         load in any_load(),
     ) {
@@ -96,7 +96,7 @@
     }
 
     #[test]
-    fn calls_stop_within_the_grace_even_if_the_process_pauses(settings in any_settings()) {
+    fn calls_stop_within_the_grace_period_even_if_the_process_pauses(settings in any_settings()) {
         let bounds = ListAgeBounds::new(&settings);
         let latest_write = bounds.usable_for() + MAX_PROCESS_PAUSE + EVENT_HANDLING;
         prop_assert!(latest_write <= bounds.max_staleness + bounds.drain_grace);
--- a/src/forwarder/discovery/list_age_monitor/tests.rs
+++ b/src/forwarder/discovery/list_age_monitor/tests.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_outage_does_not_make_the_list_too_old() {
+fn an_outage_does_not_make_the_list_stale() {
     let start = Instant::now();
     let mut monitor = first_list(&settings(), start);
     assert!(!monitor.is_confirmed());
@@ -203,7 +203,7 @@
 }
 
 #[test]
-fn a_response_that_does_not_end_makes_the_list_too_old_within_the_grace() {
+fn a_response_that_does_not_end_makes_the_list_stale_within_the_grace_period() {
     let start = Instant::now();
     for mut monitor in monitors(start) {
         monitor.record_response_progress(4, start + seconds(0.8));
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_lost_response_makes_the_list_too_old_within_the_grace() {
+fn a_lost_response_makes_the_list_stale_within_the_grace_period() {
     let start = Instant::now();
     for mut monitor in monitors(start) {
         monitor.record_lost_response(start + seconds(1.0));
--- a/src/forwarder/discovery/tests.rs
+++ b/src/forwarder/discovery/tests.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_long_watch_follows_a_failure_only_once_a_short_one_was_answered() {
+fn a_long_watch_follows_a_failure_only_once_a_short_one_got_a_response() {
     let query = |senders, is_confirmed| {
         schedule(&settings(senders)).query(Some(7), CallContext::AfterFailure, is_confirmed)
     };
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_process_does_not_act_on_an_unconfirmed_list() {
+fn an_unconfirmed_list_is_stale() {
     let start = Instant::now();
     for senders in [6, 300] {
         let settings = Settings { drain_grace: 500_000, ..settings(senders) };
