--- a/src/forwarder/discovery/open_calls.rs
+++ b/src/forwarder/discovery/open_calls.rs
@@ -42,16 +42,16 @@
     Finished(FinishedCall),
 }
 
-/// The most calls that may be open at once: an overdue call and its hedges.
+/// Maximum number of calls that may be open at once: an overdue call and its hedges.
 const MAX_OPEN_CALLS: usize = 6;
-/// The least interval between the starts of calls that are kept open beside each other.
+/// Minimum interval between the starts of calls that are kept open beside each other.
 const KEPT_CALL_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// The most progress reports that wait to be handled. If there are more, a response counts as having stopped
-/// a little earlier than it did.
+/// Maximum number of progress reports that wait to be handled. Further reports are dropped, and the response
+/// then counts as having stopped slightly earlier than it did.
 const PROGRESS_CAPACITY: usize = 64;
 
-/// An open call to the present address, and its task.
+/// An open call to the current address, and its task.
 struct OpenCall {
     call: ListCall,
     task: AbortHandle,
@@ -64,11 +64,11 @@
     progress: Receiver<ListCall>,
     progress_sender: Sender<ListCall>,
     next_number: u64,
-    /// The number of the first call to the present address.
+    /// The number of the first call to the current address.
     first_number: u64,
-    /// Open calls to the present address, in the order of their start.
+    /// Open calls to the current address, in the order of their start.
     open: Vec<OpenCall>,
-    /// A client with a connection to the present address that carries no call.
+    /// A client with a connection to the current address that carries no call.
     idle_client: Option<DiscoveryClient>,
 }
 
@@ -87,7 +87,7 @@
         }
     }
 
-    /// The open calls to the present address, in the order of their start.
+    /// The open calls to the current address, in the order of their start.
     pub(super) fn open(&self) -> impl DoubleEndedIterator<Item = ListCall> + ExactSizeIterator {
         self.open.iter().map(|open| open.call)
     }
@@ -162,7 +162,7 @@
         self.idle_client = None;
     }
 
-    /// Whether the call was made to the present address.
+    /// Whether the call was made to the current address.
     pub(super) fn is_to_current_address(&self, call: ListCall) -> bool {
         call.number >= self.first_number
     }
