--- a/src/forwarder/departed_endpoints/tests.rs
+++ b/src/forwarder/departed_endpoints/tests.rs
@@ -50,13 +50,13 @@
 
 #[test]
 fn endpoints_that_left_service_are_not_called_by_the_next_process() {
-    let unreadable = json!({"uid": "c", "endpoint": 7});
+    let invalid = json!({"uid": "c", "endpoint": 7});
     let cases: [(&str, EndpointList, &[&str]); 5] = [
         ("draining", list(5, false, &[record("a", "terminating")]), &["b", "c"]),
         ("removed", list(5, false, &[record("a", "terminated"), record("b", "terminating")]), &["c"]),
         ("unknown state", list(5, false, &[record("b", "resting")]), &["a", "c"]),
         ("missing in a complete list", list(5, true, &in_service(&["a", "c"])), &["a", "c"]),
-        ("unreadable", list(5, false, &[unreadable]), &["a", "b"]),
+        ("invalid", list(5, false, &[invalid]), &["a", "b"]),
     ];
     for (name, list, callable) in cases {
         let folder = Folder::create();
--- a/src/forwarder/discovery/follower/tests.rs
+++ b/src/forwarder/discovery/follower/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_complete_list_is_needed_after_an_unreadable_change_or_a_lower_revision() {
+fn the_complete_list_is_needed_after_an_invalid_record_or_a_lower_revision() {
     assert_eq!(next_revision(watch(4), &EndpointList { invalid_records: 1, ..changes(5) }), None);
     assert_eq!(next_revision(watch(4), &changes(3)), None);
 }
--- a/src/forwarder/discovery/list_response.rs
+++ b/src/forwarder/discovery/list_response.rs
@@ -20,7 +20,7 @@
 /// The revision since which the next call requests changes; `None` if it has to request the complete list.
 pub(super) fn next_revision(query: ListQuery, list: &EndpointList) -> Option<u64> {
     if list.complete {
-        // A complete list with an unreadable record is used as it is: another request would return the same
+        // A complete list with an invalid record is used as it is: another request would return the same
         // list.
         return Some(list.revision);
     }
--- a/src/forwarder/messages/endpoint_list.rs
+++ b/src/forwarder/messages/endpoint_list.rs
@@ -36,7 +36,7 @@
         for record in document.targets {
             match EndpointRecord::deserialize(&record) {
                 Ok(record) => list.endpoints.push(record),
-                Err(error) => list.add_unreadable(&record, &error),
+                Err(error) => list.add_invalid(&record, &error),
             }
         }
         list
@@ -44,7 +44,7 @@
 }
 
 impl EndpointList {
-    fn add_unreadable(&mut self, record: &Value, error: &serde_json::Error) {
+    fn add_invalid(&mut self, record: &Value, error: &serde_json::Error) {
         eprintln!("discovery: cannot parse a record of the endpoint list: {error}");
         self.invalid_records += 1;
         self.invalid_record_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
--- a/src/forwarder/runtime/endpoint_list.rs
+++ b/src/forwarder/runtime/endpoint_list.rs
@@ -18,8 +18,8 @@
         if list.complete {
             self.endpoints.mark_all_removed(now);
         }
-        let unreadable = self.unreadable_records(list);
-        let records = list.endpoints.iter().chain(&unreadable);
+        let drains = self.drains_of_invalid_records(list);
+        let records = list.endpoints.iter().chain(&drains);
         self.log_endpoints_leaving_service(list, records.clone());
         let entries = records.map(|record| self.apply_record(now, record)).collect();
         let event = if list.complete { Event::ListSnapshot(entries) } else { Event::ListUpdate(entries) };
@@ -32,12 +32,14 @@
 
     /// Records that drain the endpoints in service whose changed records could not be parsed: the change may
     /// have been a drain. From a complete list, such endpoints are missing and thus removed.
-    fn unreadable_records(&self, list: &EndpointList) -> Vec<EndpointRecord> {
+    fn drains_of_invalid_records(&self, list: &EndpointList) -> Vec<EndpointRecord> {
         if list.complete {
             return Vec::new();
         }
-        let known =
-            list.invalid_record_uids.iter().filter_map(|uid| self.endpoints.get(self.endpoints.number_of(uid)?));
+        let known = list
+            .invalid_record_uids
+            .iter()
+            .filter_map(|uid| self.endpoints.get(self.endpoints.number_of(uid)?));
         known
             .filter(|endpoint| endpoint.record.state == LifecycleState::InService)
             .map(|endpoint| EndpointRecord { state: LifecycleState::Terminating, ..endpoint.record.clone() })
