--- a/src/forwarder/accept/mod.rs
+++ b/src/forwarder/accept/mod.rs
@@ -12,7 +12,8 @@
 /// Whenever this many attempts in a row have failed, the next one is delayed. Fewer errors may concern single
 /// connections, which must not delay the connections queued behind them.
 const MAX_IMMEDIATE_ATTEMPTS: u32 = 16;
-/// The delay after [`MAX_IMMEDIATE_ATTEMPTS`] failed attempts. Descriptors or memory may become free meanwhile.
+/// The delay after [`MAX_IMMEDIATE_ATTEMPTS`] failed attempts. Descriptors or memory may become free
+/// meanwhile.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
 
 /// A socket that accepts connections.
--- a/src/forwarder/server/lifecycle.rs
+++ b/src/forwarder/server/lifecycle.rs
@@ -3,8 +3,8 @@
 use std::sync::atomic::AtomicUsize;
 use std::time::Duration;
 
-/// How long a connection may have no open request before it is closed in [`LifecyclePhase::Draining`]. By then
-/// the load balancer has noticed that the process is not ready, and requests in transit have arrived.
+/// How long a connection may have no open request before it is closed in [`LifecyclePhase::Draining`]. By
+/// then the load balancer has noticed that the process is not ready, and requests in transit have arrived.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// The phases of the process, from normal operation to its end.
