--- a/src/forwarder/discovery/list_response.rs
+++ b/src/forwarder/discovery/list_response.rs
@@ -20,7 +20,7 @@
 /// The revision since which the next call requests changes; `None` if it has to request the complete list.
 pub(super) fn next_revision(query: ListQuery, list: &EndpointList) -> Option<u64> {
     if list.complete {
-        // A complete list with an unreadable record is used as it is: another request would return the same
+        // A complete list with an invalid record is used as it is: another request would return the same
         // list.
         return Some(list.revision);
     }
@@ -30,12 +30,12 @@
         ListQuery::Complete => false,
     };
     // A changed record that could not be parsed may be a drain.
-    (!is_restarted && list.unreadable == 0).then_some(list.revision)
+    (!is_restarted && list.invalid_records == 0).then_some(list.revision)
 }
 
 /// Whether the service has responded that nothing changed.
 fn has_no_changes(list: &EndpointList) -> bool {
-    !list.complete && list.endpoints.is_empty() && list.unreadable == 0
+    !list.complete && list.endpoints.is_empty() && list.invalid_records == 0
 }
 
 /// The time from the moment at which the service could have sent the list to its arrival; zero if it is not
--- a/src/forwarder/messages/endpoint_list.rs
+++ b/src/forwarder/messages/endpoint_list.rs
@@ -16,9 +16,9 @@
     /// The records that could be parsed.
     pub(crate) endpoints: Vec<EndpointRecord>,
     /// The number of records that could not be parsed. Such records do not affect the others.
-    pub(crate) unreadable: usize,
+    pub(crate) invalid_records: usize,
     /// The ids of the records that could not be parsed, except those whose id is missing or invalid too.
-    pub(crate) unreadable_uids: Vec<String>,
+    pub(crate) invalid_record_uids: Vec<String>,
 }
 
 /// The JSON form of the list.
@@ -36,7 +36,7 @@
         for record in document.targets {
             match EndpointRecord::deserialize(&record) {
                 Ok(record) => list.endpoints.push(record),
-                Err(error) => list.add_unreadable(&record, &error),
+                Err(error) => list.add_invalid(&record, &error),
             }
         }
         list
@@ -44,10 +44,10 @@
 }
 
 impl EndpointList {
-    fn add_unreadable(&mut self, record: &Value, error: &serde_json::Error) {
+    fn add_invalid(&mut self, record: &Value, error: &serde_json::Error) {
         eprintln!("discovery: cannot parse a record of the endpoint list: {error}");
-        self.unreadable += 1;
-        self.unreadable_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
+        self.invalid_records += 1;
+        self.invalid_record_uids.extend(record.get("uid").and_then(Value::as_str).map(str::to_owned));
     }
 }
 
