--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -41,7 +41,7 @@
     /// message.
     fn needs_this_probe(&self, message: &Message, now: Micros) -> bool {
         let next_probe_at = now + longest_probe_interval(&self.parameters) as Micros;
-        message.is_accepted_and_untried() && self.sendable_until(message) < next_probe_at
+        message.is_accepted_but_never_attempted() && self.sendable_until(message) < next_probe_at
     }
 
     /// Fraction of its weight that a message has left at a time, by the configured weight decay.
@@ -58,7 +58,7 @@
     /// The value of a delivery of a message at a time, by which messages compete for call slots.
     pub(super) fn value(&self, message: &Message, at: Micros) -> f64 {
         // A message that was accepted before a restart must get an attempt: it is sent first.
-        if message.is_accepted_and_untried() {
+        if message.is_accepted_but_never_attempted() {
             return f64::MAX;
         }
         let settings = &self.parameters.settings;
--- a/src/sender_state/message.rs
+++ b/src/sender_state/message.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether a predecessor accepted the message and nothing of it has been written to an endpoint so far.
-    pub(crate) fn is_accepted_and_untried(&self) -> bool {
+    pub(crate) fn is_accepted_but_never_attempted(&self) -> bool {
         self.submission.history.accepted && self.attempts == self.unsent_attempts
     }
 }
