--- a/tests/decision_restart.rs
+++ b/tests/decision_restart.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn untried_message_of_a_predecessor_is_sent_before_new_ones() {
+fn never_attempted_message_of_a_predecessor_is_sent_before_new_ones() {
     let mut harness = SenderHarness::new(Settings { call_slots: 1, ..settings() }, vec![entry(10, 1, 0)]);
     harness.submit(0, 0, 1);
     harness.submit(1, 0, 1);
@@ -56,10 +56,10 @@
 /// message that allows one execution and that a predecessor accepted but never attempted would expire without
 /// a call.
 #[test]
-fn untried_message_that_allows_one_execution_is_sent_during_an_outage_before_it_expires() {
+fn never_attempted_message_that_allows_one_execution_is_sent_during_an_outage_before_it_expires() {
     let mut harness = SenderHarness::new(settings(), vec![entry(10, 1, 0)]);
     let mut attempts: BTreeMap<MessageId, usize> = BTreeMap::new();
-    let mut tried_at = None;
+    let mut attempted_at = None;
     let start = harness.now;
     for number in 0..150 {
         let mut calls = sends(&harness.submit(100 + number, 0, 1));
@@ -71,12 +71,12 @@
         calls.extend(timed_sends(&harness.advance(100 * MS)).into_iter().map(|(_, id, to)| (id, to)));
         while let Some((id, _)) = calls.pop() {
             if id == 1 {
-                tried_at.get_or_insert(harness.now - start);
+                attempted_at.get_or_insert(harness.now - start);
             }
             let attempt = attempts.entry(id).or_insert(0);
             calls.extend(sends(&harness.end_attempt(id, *attempt, Outcome::ConnectFailed, 2 * SEC)));
             *attempt += 1;
         }
     }
-    assert!(tried_at.is_some(), "the message got no call");
+    assert!(attempted_at.is_some(), "the message got no call");
 }
