--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -54,10 +54,10 @@
         // If the message expires before the latency objective, any delivery before its expiry is on time.
         let beyond_objective = class.deadline - class.latency_objective;
         let patient = submission.expires_at - now > class.latency_objective;
-        let due = submission.expires_at - if patient { beyond_objective } else { 0 };
+        let on_time_until = submission.expires_at - if patient { beyond_objective } else { 0 };
         submission.key = submission.key.filter(|_| class.ordered);
         let over_quota = submission.tenant.is_some_and(|tenant| self.count_against_quota(now, tenant));
-        Message::new(submission, over_quota, due, now)
+        Message::new(submission, over_quota, on_time_until, now)
     }
 
     /// Counts a message against the quota of its tenant. Returns true if the tenant is over this sender's
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -9,7 +9,7 @@
 pub(super) struct MessageChoice {
     pub id: MessageId,
     pub value: f64,
-    due: Micros,
+    on_time_until: Micros,
 }
 
 impl Balancer {
@@ -47,11 +47,11 @@
     /// Fraction of its weight that a message has left at a time, by the configured weight decay.
     fn remaining_weight(&self, message: &Message, at: Micros) -> f64 {
         let class = &self.parameters.settings.classes[message.submission.class];
-        let late = (at - message.due).max(0) as f64;
+        let late = (at - message.on_time_until).max(0) as f64;
         if self.parameters.settings.weight_decay == WeightDecay::HalfLife && class.latency_objective > 0 {
             return (-late / class.latency_objective as f64).exp2().max(class.late_weight_fraction);
         }
-        let decay_time = (message.submission.expires_at - message.due).max(1) as f64;
+        let decay_time = (message.submission.expires_at - message.on_time_until).max(1) as f64;
         1.0 - (1.0 - class.late_weight_fraction) * (late / decay_time).min(1.0)
     }
 
@@ -90,21 +90,22 @@
             // A probe may be lost: messages that may be executed again are preferred.
             let avoids_probe = probe && repeatable_queued && at_most_once(key.class);
             let on_time = queue.range((delivered_at, 0)..).next();
-            for &(due, id) in on_time.into_iter().chain(queue.first()) {
+            for &(on_time_until, id) in on_time.into_iter().chain(queue.first()) {
                 let message = &self.state.messages[id];
                 if avoids_probe && !self.needs_this_probe(message, now) {
                     continue;
                 }
                 // If calls fail, a message that must not be executed twice waits for a recovery as long as it
                 // is not urgent.
-                let may_wait = delivered_at + self.parameters.objective_divided_by(4) < message.due;
+                let may_wait = delivered_at + self.parameters.objective_divided_by(4) < message.on_time_until;
                 if wait_for_recovery && may_wait && at_most_once(key.class) {
                     continue;
                 }
                 let value = self.value(message, delivered_at);
-                let better = best.is_none_or(|b| value > b.value || (value == b.value && due < b.due));
+                let better = best
+                    .is_none_or(|b| value > b.value || (value == b.value && on_time_until < b.on_time_until));
                 if better && self.is_sendable(message, zone, now) {
-                    best = Some(MessageChoice { id, value, due });
+                    best = Some(MessageChoice { id, value, on_time_until });
                 }
             }
         }
--- a/src/sender_state/message.rs
+++ b/src/sender_state/message.rs
@@ -23,7 +23,7 @@
     /// Whether the tenant had used up its quota when the message was submitted.
     pub(crate) over_quota: bool,
     /// Until this time a delivery has its full weight.
-    pub(crate) due: Micros,
+    pub(crate) on_time_until: Micros,
     /// When the message gets its final reply if it has not been delivered.
     pub(crate) give_up_at: Micros,
     /// Number of attempts made.
@@ -40,10 +40,10 @@
 
 impl Message {
     /// Creates a message that is not queued yet.
-    pub(crate) fn new(submission: Submission, over_quota: bool, due: Micros, now: Micros) -> Self {
+    pub(crate) fn new(submission: Submission, over_quota: bool, on_time_until: Micros, now: Micros) -> Self {
         Message {
             over_quota,
-            due,
+            on_time_until,
             give_up_at: now,
             attempts: submission.history.attempts,
             unsent_attempts: 0,
--- a/src/sender_state/message_queues.rs
+++ b/src/sender_state/message_queues.rs
@@ -59,15 +59,27 @@
     }
 
     /// Adds a message.
-    pub(crate) fn insert(&mut self, destination: DestinationId, key: QueueKey, due: Micros, id: MessageId) {
-        self.0.entry(destination).or_default().entry(key).or_default().insert((due, id));
+    pub(crate) fn insert(
+        &mut self,
+        destination: DestinationId,
+        key: QueueKey,
+        on_time_until: Micros,
+        id: MessageId,
+    ) {
+        self.0.entry(destination).or_default().entry(key).or_default().insert((on_time_until, id));
     }
 
     /// Removes a message.
-    pub(crate) fn remove(&mut self, destination: DestinationId, key: QueueKey, due: Micros, id: MessageId) {
+    pub(crate) fn remove(
+        &mut self,
+        destination: DestinationId,
+        key: QueueKey,
+        on_time_until: Micros,
+        id: MessageId,
+    ) {
         let Some(queues) = self.0.get_mut(&destination) else { return };
         if let Some(queue) = queues.get_mut(&key) {
-            queue.remove(&(due, id));
+            queue.remove(&(on_time_until, id));
         }
         queues.retain(|_, queue| !queue.is_empty());
         if queues.is_empty() {
--- a/src/sender_state/message_table.rs
+++ b/src/sender_state/message_table.rs
@@ -56,8 +56,9 @@
     pub(crate) fn enqueue(&mut self, id: MessageId) -> DestinationId {
         let message = self.open_message(id);
         message.state = MessageState::Queued;
-        let (destination, key, due) = (message.submission.destination, message.queue_key(), message.due);
-        self.queues.insert(destination, key, due, id);
+        let (destination, key, on_time_until) =
+            (message.submission.destination, message.queue_key(), message.on_time_until);
+        self.queues.insert(destination, key, on_time_until, id);
         destination
     }
 
@@ -132,7 +133,12 @@
         match message.state {
             MessageState::Delayed { until } => self.delayed.remove(until, id),
             MessageState::Queued => {
-                self.queues.remove(message.submission.destination, message.queue_key(), message.due, id);
+                self.queues.remove(
+                    message.submission.destination,
+                    message.queue_key(),
+                    message.on_time_until,
+                    id,
+                );
             }
             MessageState::InFlight | MessageState::Blocked => {}
         }
