--- a/src/decision/rate_limiter.rs
+++ b/src/decision/rate_limiter.rs
@@ -17,7 +17,7 @@
 /// The backoff doubles with each consecutive wave of rejections, up to this many.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
 /// This many consecutive waves of rejections without a Retry-After indicate an outage and not a limit.
-const OUTAGE_REJECTIONS: u32 = 4;
+const OUTAGE_REJECTION_WAVES: u32 = 4;
 /// A reported limit is plausible if it is within this factor of the listed rate.
 const PLAUSIBLE_REPORT_FACTOR: f64 = 10.0;
 /// The rate that is assumed where none is listed. A report is then plausible within the square of
@@ -67,7 +67,7 @@
     /// Increases the limit after a delivery, in proportion to the time since its last change. Frequent calls
     /// that are not full do not test the limit, and do not increase it.
     pub(super) fn increase_limit(&mut self, now: Micros, parameters: &Parameters) {
-        self.limiter.rejections = 0;
+        self.limiter.rejection_waves = 0;
         let Some(limit) = self.limiter.limit else { return };
         if !self.limiter.last_call_full && SECOND / limit <= parameters.latency_objective / 4.0 {
             return;
@@ -87,7 +87,7 @@
         if sent_at < self.limiter.last_rejection {
             return;
         }
-        self.limiter.record_rejection(now);
+        self.limiter.record_rejection_wave(now);
         let share = self.own_share(parameters);
         let is_shared = share > 0.0 && parameters.has_many_senders();
         let floor = if is_shared { share / MAX_BACKOFF_INTERVALS } else { parameters.rate_floor };
@@ -102,8 +102,8 @@
     pub(super) fn back_off(&mut self, now: Micros, retry_after: Option<Micros>, parameters: &Parameters) {
         let wait = retry_after.unwrap_or(0).max(self.rejection_backoff(parameters));
         self.limiter.hold_until(now + wait);
-        let many_rejections = self.limiter.rejections >= OUTAGE_REJECTIONS;
-        if retry_after.map_or(many_rejections, |wait| wait as f64 > parameters.warm_up / 4.0) {
+        let many_waves = self.limiter.rejection_waves >= OUTAGE_REJECTION_WAVES;
+        if retry_after.map_or(many_waves, |wait| wait as f64 > parameters.warm_up / 4.0) {
             self.open_breaker(now, parameters);
         }
     }
@@ -118,7 +118,8 @@
         } else {
             parameters.latency_objective * (1.0 / parameters.share).min(4.0)
         };
-        let doubled = SECOND / rate * f64::from(1u32 << self.limiter.rejections.min(MAX_BACKOFF_DOUBLINGS));
+        let doubled =
+            SECOND / rate * f64::from(1u32 << self.limiter.rejection_waves.min(MAX_BACKOFF_DOUBLINGS));
         let jitter = if many_senders { random_jitter(&mut self.seed) } else { 1.0 };
         ((doubled / 2.0).min(longest) * jitter) as Micros
     }
--- a/src/sender_state/route.rs
+++ b/src/sender_state/route.rs
@@ -95,7 +95,7 @@
     /// Whether the last call carried as many messages as a call may.
     pub(crate) last_call_full: bool,
     /// Waves of rejections since the last delivery.
-    pub(crate) rejections: u32,
+    pub(crate) rejection_waves: u32,
     /// When the first rejection of the latest wave was received.
     pub(crate) last_rejection: Micros,
     /// When the limit was last changed.
@@ -120,8 +120,8 @@
     }
 
     /// Records the first rejection of a wave.
-    pub(crate) fn record_rejection(&mut self, now: Micros) {
-        self.rejections += 1;
+    pub(crate) fn record_rejection_wave(&mut self, now: Micros) {
+        self.rejection_waves += 1;
         self.last_rejection = now;
     }
 
