--- a/src/decision/rate_limiter.rs
+++ b/src/decision/rate_limiter.rs
@@ -84,7 +84,7 @@
     /// rate of very few calls is discounted: otherwise many senders with rare calls would each stay far above
     /// their share.
     pub(super) fn decrease_limit(&mut self, now: Micros, sent_at: Micros, parameters: &Parameters) {
-        if sent_at < self.limiter.last_rejection {
+        if sent_at < self.limiter.last_rejection_wave {
             return;
         }
         self.limiter.record_rejection_wave(now);
--- a/src/sender_state/route.rs
+++ b/src/sender_state/route.rs
@@ -97,7 +97,7 @@
     /// Waves of rejections since the last delivery.
     pub(crate) rejection_waves: u32,
     /// When the first rejection of the latest wave was received.
-    pub(crate) last_rejection: Micros,
+    pub(crate) last_rejection_wave: Micros,
     /// When the limit was last changed.
     pub(crate) limit_changed_at: Micros,
 }
@@ -122,7 +122,7 @@
     /// Records the first rejection of a wave.
     pub(crate) fn record_rejection_wave(&mut self, now: Micros) {
         self.rejection_waves += 1;
-        self.last_rejection = now;
+        self.last_rejection_wave = now;
     }
 
     /// Prevents calls until a time. A longer wait stays in force.
@@ -189,7 +189,7 @@
         let limiter = RateLimiter {
             next_call_at: now,
             wait_until: now,
-            last_rejection: now,
+            last_rejection_wave: now,
             limit_changed_at: now,
             ..RateLimiter::default()
         };
