--- a/src/interface/attempt.rs
+++ b/src/interface/attempt.rs
@@ -19,7 +19,8 @@
     },
     /// No response arrived in time; the message may have been executed, or may still be executed later.
     TimedOut,
-    /// No connection was established; the message was never executed.
+    /// No connection was established, or it broke before the call was written completely; the message was
+    /// never executed.
     ConnectFailed,
     /// The connection broke; the message may have been executed.
     Reset,
@@ -34,7 +35,8 @@
     StaleConnection,
     /// Cancelled by the sender; the message may have been executed.
     Cancelled,
-    /// Not sent by the host, or rejected by an endpoint without a free slot; the message was never executed.
+    /// Not sent, or not completely, by the host, or declined by the endpoint, for example because it had no
+    /// free slot or the message had expired; the message was never executed.
     NotSent,
 }
 
@@ -67,7 +69,7 @@
     pub finished: bool,
     /// What the destination reported about its rate limit.
     pub report: Option<LoadReport>,
-    /// Nothing was written to the endpoint: the attempt does not count towards
+    /// The call was not written, or not completely: the attempt does not count towards
     /// [`super::Settings::max_attempts`].
     pub unsent: bool,
     /// The Retry-After that the destination sent with an outcome other than [`Outcome::Rejected`], which
--- a/src/interface/learned_state.rs
+++ b/src/interface/learned_state.rs
@@ -48,7 +48,7 @@
     /// Calls per second that the destination accepted from this sender while it was healthy.
     #[serde(rename = "base")]
     pub healthy_rate: f64,
-    /// Time since the sender has known the destination.
+    /// How long the sender has known the destination.
     pub age: Micros,
     /// Number of calls sent to the destination, exponentially decayed.
     #[serde(rename = "sent")]
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -107,10 +107,10 @@
     pub max_retry_after: Micros,
     /// Whether this sender polls discovery. Otherwise updates are pushed to it.
     pub poll_discovery: bool,
-    /// Maximum age of the endpoint list of a sender that polls discovery: the sender must know every change
-    /// that was older than this at its last poll.
+    /// Maximum staleness of the endpoint list of a sender that polls discovery: the list must include every
+    /// change that was older than this at the last poll.
     pub max_list_age: Micros,
-    /// How long an endpoint may still get new calls after the time by which its drain must be known.
+    /// The grace period: how long an endpoint may still get new calls after the list must include its drain.
     pub drain_grace: Micros,
     /// The meaning of the weights in the endpoint list.
     pub endpoint_weights: EndpointWeights,
