--- a/src/decision/admission.rs
+++ b/src/decision/admission.rs
@@ -53,8 +53,8 @@
         let class = &self.parameters.settings.classes[submission.class];
         // If the message expires before the latency objective, any delivery before its expiry is on time.
         let beyond_objective = class.deadline - class.latency_objective;
-        let patient = submission.expires_at - now > class.latency_objective;
-        let on_time_until = submission.expires_at - if patient { beyond_objective } else { 0 };
+        let outlasts_objective = submission.expires_at - now > class.latency_objective;
+        let on_time_until = submission.expires_at - if outlasts_objective { beyond_objective } else { 0 };
         submission.key = submission.key.filter(|_| class.ordered);
         let over_quota = submission.tenant.is_some_and(|tenant| self.count_against_quota(now, tenant));
         Message::new(submission, over_quota, on_time_until, now)
--- a/src/decision/circuit_breaker.rs
+++ b/src/decision/circuit_breaker.rs
@@ -88,8 +88,8 @@
     }
 
     /// Starts the warm-up, with an immediate call if the sender is one of few. Many senders detect a recovery
-    /// together, for example when hanging calls are answered, and an immediate call from each would exceed
-    /// the reduced capacity.
+    /// together, for example when hanging calls get their responses, and an immediate call from each would
+    /// exceed the reduced capacity.
     pub(super) fn start_warm_up(&mut self, now: Micros, parameters: &Parameters) {
         self.breaker.state = BreakerState::WarmingUp { since: now };
         self.limiter.next_call_at = now;
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,9 +1,9 @@
 //! Every decision of the forwarder: which message is sent when and where, and which is rejected.
 //!
 //! [`Balancer`] takes events and returns actions; both are defined in [`crate::interface`]. The state is kept
-//! in [`crate::sender_state`]. The rules for messages are, in the order in which a message meets them, in
-//! `admission`, `concurrency`, `endpoint_choice`, `selection`, `sending`, `outcome` and `timers`. What is
-//! learned about destinations is in `route`, with `health`, `circuit_breaker` and `rate_limiter`.
+//! in [`crate::sender_state`]. The rules for messages are, in the order in which they apply, in `admission`,
+//! `concurrency`, `endpoint_choice`, `selection`, `sending`, `outcome` and `timers`. What is learned about
+//! destinations is in `route`, with `health`, `circuit_breaker` and `rate_limiter`.
 
 mod admission;
 mod backlog_report;
--- a/src/decision/outcome.rs
+++ b/src/decision/outcome.rs
@@ -100,8 +100,8 @@
     /// Updates the endpoint and the route by the outcome of a call, which ends with its last attempt.
     fn end_call(&mut self, now: Micros, attempt: &Attempt, end: &AttemptEnded) {
         let settings = &self.parameters.settings;
-        let answered = matches!(end.outcome, Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. });
-        self.state.end_call(now, attempt, answered, settings.idle_timeout);
+        let responded = matches!(end.outcome, Outcome::Delivered | Outcome::Error | Outcome::Rejected { .. });
+        self.state.end_call(now, attempt, responded, settings.idle_timeout);
         let route = self.state.directory.route_mut(attempt.route);
         if let Some(rate) = route.allowed_rate(now, &self.parameters).filter(|_| end.unsent) {
             route.limiter.undo_call(rate);
--- a/src/decision/rate_limiter.rs
+++ b/src/decision/rate_limiter.rs
@@ -97,8 +97,8 @@
         self.limiter.set_limit(now, (base * DECREASE_FACTOR).max(floor));
     }
 
-    /// Delays calls after a rejection. Many rejections without a Retry-After, or a long Retry-After, indicate
-    /// an outage.
+    /// Delays calls after a rejection. Many waves without a Retry-After, or a long Retry-After, indicate an
+    /// outage.
     pub(super) fn back_off(&mut self, now: Micros, retry_after: Option<Micros>, parameters: &Parameters) {
         let wait = retry_after.unwrap_or(0).max(self.rejection_backoff(parameters));
         self.limiter.hold_until(now + wait);
--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -37,8 +37,8 @@
         key_known && now < self.sendable_until(message)
     }
 
-    /// Whether a message that was accepted before a restart may get no attempt if this probe takes another
-    /// message.
+    /// Whether a message that was accepted before a restart may never be attempted if this probe carries
+    /// another message.
     fn needs_this_probe(&self, message: &Message, now: Micros) -> bool {
         let next_probe_at = now + longest_probe_interval(&self.parameters) as Micros;
         message.is_accepted_but_never_attempted() && self.sendable_until(message) < next_probe_at
@@ -74,8 +74,8 @@
     }
 
     /// Returns the message with the highest value at an endpoint. In each queue, only the first message that
-    /// can be delivered on time and the first message of all are compared; of equal values, the message due
-    /// first wins.
+    /// can be delivered on time and the first message of all are compared; of equal values, the message with
+    /// the earliest `on_time_until` wins.
     pub(super) fn best_message(&self, route_id: RouteId, now: Micros) -> Option<MessageChoice> {
         let route = self.state.directory.route(route_id);
         let zone = self.state.directory.endpoints[&route_id.endpoint].zone;
--- a/src/sender_state/message.rs
+++ b/src/sender_state/message.rs
@@ -22,19 +22,19 @@
     pub(crate) submission: Submission,
     /// Whether the tenant had used up its quota when the message was submitted.
     pub(crate) over_quota: bool,
-    /// Until this time a delivery has its full weight.
+    /// Until this time a delivery is on time: it has its full weight.
     pub(crate) on_time_until: Micros,
     /// When the message gets its final reply if it has not been delivered.
     pub(crate) give_up_at: Micros,
     /// Number of attempts made.
     pub(crate) attempts: usize,
-    /// Number of attempts of which nothing was written to the endpoint.
+    /// Number of attempts whose call was not written, or not completely.
     pub(crate) unsent_attempts: usize,
     /// Whether the message can be sent.
     pub(crate) state: MessageState,
     /// The first attempt that may have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// Whether the response is being streamed to the client, so that no other answer may follow.
+    /// Whether the response is being streamed to the client, so that no final reply may follow.
     pub(crate) response_started: bool,
 }
 
@@ -59,7 +59,7 @@
         QueueKey { class: self.submission.class, over_quota: self.over_quota }
     }
 
-    /// Whether a predecessor accepted the message and nothing of it has been written to an endpoint so far.
+    /// Whether a predecessor accepted the message and no call with it has been written completely so far.
     pub(crate) fn is_accepted_but_never_attempted(&self) -> bool {
         self.submission.history.accepted && self.attempts == self.unsent_attempts
     }
--- a/src/sender_state/message_queues.rs
+++ b/src/sender_state/message_queues.rs
@@ -12,7 +12,7 @@
     pub(crate) over_quota: bool,
 }
 
-/// The messages of one queue with the times until which they have their full weight, earliest first.
+/// The messages of one queue with their [`super::message::Message::on_time_until`], earliest first.
 type Queue = BTreeSet<(Micros, MessageId)>;
 
 /// The queues of all destinations. Empty queues are removed.
--- a/src/sender_state/state.rs
+++ b/src/sender_state/state.rs
@@ -30,7 +30,7 @@
     pub(crate) class_results: Vec<ClassResults>,
     /// Until this time the connection tables of endpoints are assumed to be full.
     pub(crate) connection_tables_full_until: Micros,
-    /// Endpoints whose connections became idle in this turn because a call was answered.
+    /// Endpoints whose connections became idle in this turn because a call got a response.
     pub(crate) used_endpoints: BTreeSet<EndpointId>,
     /// When to subscribe to the endpoint list, if a subscription is to be made.
     pub(crate) subscribe_at: Option<Micros>,
@@ -127,12 +127,12 @@
         message.unsent_attempts += usize::from(end.unsent);
     }
 
-    /// Records that a call has ended. The connection of an answered call becomes idle.
-    pub(crate) fn end_call(&mut self, now: Micros, attempt: &Attempt, answered: bool, idle_timeout: Micros) {
+    /// Records that a call has ended. If the endpoint responded, the connection becomes idle.
+    pub(crate) fn end_call(&mut self, now: Micros, attempt: &Attempt, responded: bool, idle_timeout: Micros) {
         self.directory.remove_call_in_flight(attempt.route, attempt.call);
         let endpoint = self.directory.endpoint_mut(attempt.route.endpoint);
         endpoint.calls_in_flight = endpoint.calls_in_flight.saturating_sub(1);
-        if answered {
+        if responded {
             endpoint.idle_connections.add(now, idle_timeout);
             self.used_endpoints.insert(attempt.route.endpoint);
         }
