--- a/src/decision/connections.rs
+++ b/src/decision/connections.rs
@@ -17,7 +17,7 @@
     /// before the first rejection of a wave was received count as part of that wave.
     pub(super) fn record_connect_rejection(&mut self, now: Micros, attempt: &Attempt) {
         let rejections = &mut self.state.directory.endpoint_mut(attempt.route.endpoint).connect_rejections;
-        if attempt.sent_at >= rejections.last {
+        if attempt.sent_at >= rejections.last_wave {
             rejections.record_wave(now, MAX_BACKOFF_DOUBLINGS);
             let jitter = random_jitter(&mut self.state.seed);
             let base = self.parameters.latency_objective / 16.0;
--- a/src/sender_state/directory.rs
+++ b/src/sender_state/directory.rs
@@ -55,7 +55,7 @@
     /// Number of waves since the last delivery.
     pub(crate) waves: u32,
     /// When the first rejection of the latest wave was received.
-    pub(crate) last: Micros,
+    pub(crate) last_wave: Micros,
     /// Until this time no new connection is tried.
     pub(crate) backoff_until: Micros,
 }
@@ -63,7 +63,7 @@
 impl ConnectRejections {
     /// Records the first rejection of a wave. At most `max_waves` waves are counted.
     pub(crate) fn record_wave(&mut self, now: Micros, max_waves: u32) {
-        self.last = now;
+        self.last_wave = now;
         self.waves = (self.waves + 1).min(max_waves);
     }
 }
@@ -80,7 +80,7 @@
             avoid_until: now,
             serving: false,
             last_delivered_call_sent_at: Micros::MIN,
-            connect_rejections: ConnectRejections { waves: 0, last: 0, backoff_until: now },
+            connect_rejections: ConnectRejections { waves: 0, last_wave: 0, backoff_until: now },
             route: Route::new(now, seed),
         }
     }
