--- a/src/decision/selection.rs
+++ b/src/decision/selection.rs
@@ -57,7 +57,7 @@
 
     /// The value of a delivery of a message at a time, by which messages compete for call slots.
     pub(super) fn value(&self, message: &Message, at: Micros) -> f64 {
-        // A message that was accepted before a restart must get an attempt: it is sent first.
+        // A message that was accepted before a restart must be attempted at least once: it is sent first.
         if message.is_accepted_but_never_attempted() {
             return f64::MAX;
         }
--- a/src/interface/message.rs
+++ b/src/interface/message.rs
@@ -25,7 +25,7 @@
 /// What happened to a message before this process took it over from a predecessor.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct MessageHistory {
-    /// The message was accepted: it is not shed, and if it has no attempt yet, it is attempted before other
+    /// The message was accepted: it is not shed, and if it was never attempted, it is attempted before other
     /// messages.
     pub accepted: bool,
     /// The number of attempts that were made, which is also the number of the next attempt.
