--- a/src/sender_state/message.rs
+++ b/src/sender_state/message.rs
@@ -22,28 +22,28 @@
     pub(crate) submission: Submission,
     /// Whether the tenant had used up its quota when the message was submitted.
     pub(crate) over_quota: bool,
-    /// Until this time a delivery has its full weight.
-    pub(crate) due: Micros,
+    /// Until this time a delivery is on time: it has its full weight.
+    pub(crate) on_time_until: Micros,
     /// When the message gets its final reply if it has not been delivered.
     pub(crate) give_up_at: Micros,
     /// Number of attempts made.
     pub(crate) attempts: usize,
-    /// Number of attempts of which nothing was written to the endpoint.
+    /// Number of attempts whose call was not written, or not completely.
     pub(crate) unsent_attempts: usize,
     /// Whether the message can be sent.
     pub(crate) state: MessageState,
     /// The first attempt that may have been executed.
     pub(crate) possible_execution: Option<PossibleExecution>,
-    /// Whether the response is being streamed to the client, so that no other answer may follow.
+    /// Whether the response is being streamed to the client, so that no final reply may follow.
     pub(crate) response_started: bool,
 }
 
 impl Message {
     /// Creates a message that is not queued yet.
-    pub(crate) fn new(submission: Submission, over_quota: bool, due: Micros, now: Micros) -> Self {
+    pub(crate) fn new(submission: Submission, over_quota: bool, on_time_until: Micros, now: Micros) -> Self {
         Message {
             over_quota,
-            due,
+            on_time_until,
             give_up_at: now,
             attempts: submission.history.attempts,
             unsent_attempts: 0,
@@ -59,8 +59,8 @@
         QueueKey { class: self.submission.class, over_quota: self.over_quota }
     }
 
-    /// Whether a predecessor accepted the message and nothing of it has been written to an endpoint so far.
-    pub(crate) fn is_accepted_and_untried(&self) -> bool {
+    /// Whether a predecessor accepted the message and no call with it has been written completely so far.
+    pub(crate) fn is_accepted_but_never_attempted(&self) -> bool {
         self.submission.history.accepted && self.attempts == self.unsent_attempts
     }
 }
--- a/src/sender_state/route.rs
+++ b/src/sender_state/route.rs
@@ -95,9 +95,9 @@
     /// Whether the last call carried as many messages as a call may.
     pub(crate) last_call_full: bool,
     /// Waves of rejections since the last delivery.
-    pub(crate) rejections: u32,
+    pub(crate) rejection_waves: u32,
     /// When the first rejection of the latest wave was received.
-    pub(crate) last_rejection: Micros,
+    pub(crate) last_rejection_wave: Micros,
     /// When the limit was last changed.
     pub(crate) limit_changed_at: Micros,
 }
@@ -120,9 +120,9 @@
     }
 
     /// Records the first rejection of a wave.
-    pub(crate) fn record_rejection(&mut self, now: Micros) {
-        self.rejections += 1;
-        self.last_rejection = now;
+    pub(crate) fn record_rejection_wave(&mut self, now: Micros) {
+        self.rejection_waves += 1;
+        self.last_rejection_wave = now;
     }
 
     /// Prevents calls until a time. A longer wait stays in force.
@@ -189,7 +189,7 @@
         let limiter = RateLimiter {
             next_call_at: now,
             wait_until: now,
-            last_rejection: now,
+            last_rejection_wave: now,
             limit_changed_at: now,
             ..RateLimiter::default()
         };
