--- a/tests/drain_partial_answers.rs
+++ b/tests/drain_partial_answers.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use std::time::Duration;
-use support::{AnswerFault, DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY, run_cases};
+use support::{DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY, ResponseFault, run_cases};
 use tokio::time::sleep;
 
 /// The number of the first forwarder that calls discovery.
@@ -20,7 +20,7 @@
 struct IncompleteResponse {
     mode: DiscoveryMode,
     sender_count: u64,
-    fault: AnswerFault,
+    fault: ResponseFault,
     /// Whether it is the first response after rejected calls.
     after_rejections: bool,
 }
@@ -42,7 +42,7 @@
 #[tokio::test]
 async fn calls_stop_to_an_endpoint_whose_drain_is_sent_in_an_incomplete_response() {
     let mut cases = Vec::new();
-    for fault in [AnswerFault::Stall, AnswerFault::BreakOff, AnswerFault::Lose] {
+    for fault in [ResponseFault::Stall, ResponseFault::BreakOff, ResponseFault::Lose] {
         for mode in [DiscoveryMode::Ask, DiscoveryMode::Push] {
             let case = IncompleteResponse { mode, sender_count: 6, fault, after_rejections: false };
             cases.extend([case, IncompleteResponse { after_rejections: true, ..case }]);
@@ -51,10 +51,10 @@
     let larger = IncompleteResponse {
         mode: DiscoveryMode::Ask,
         sender_count: 41,
-        fault: AnswerFault::Stall,
+        fault: ResponseFault::Stall,
         after_rejections: true,
     };
-    cases.extend([larger, IncompleteResponse { fault: AnswerFault::BreakOff, ..larger }]);
+    cases.extend([larger, IncompleteResponse { fault: ResponseFault::BreakOff, ..larger }]);
     run_cases(cases, LONGEST_DELAY, IncompleteResponse::run).await;
 }
 
@@ -63,7 +63,7 @@
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 6).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
-    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.discovery.set_behavior(DiscoveryBehavior::Silent);
@@ -83,7 +83,7 @@
     scenario.discovery.set_behavior(DiscoveryBehavior::Reset);
     scenario.drain();
     sleep(BACKOFF_GROWN).await;
-    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/drain_restarts.rs
+++ b/tests/drain_restarts.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::{
-    AnswerContent, AnswerFault, DiscoveryBehavior, DiscoveryMode, DrainScenario, EndpointStub, ForwarderEnd,
-    FullListener, LONGEST_DELAY, LONGEST_SLOW_DELAY, Predecessor, run_cases,
+    AnswerContent, DiscoveryBehavior, DiscoveryMode, DrainScenario, EndpointStub, ForwarderEnd, FullListener,
+    LONGEST_DELAY, LONGEST_SLOW_DELAY, Predecessor, ResponseFault, run_cases,
 };
 use tokio::time::sleep;
 
@@ -209,7 +209,7 @@
     scenario.drain();
     scenario.move_discovery();
     sleep(AFTER_RELOAD_AND_GRACE).await;
-    scenario.discovery.set_answer_fault(CALLER, AnswerFault::Lose);
+    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -1,6 +1,8 @@
 //! Serves a connection to a scripted discovery service.
 
-use super::discovery_history::{AnswerContent, AnswerFault, CallOutcome, DiscoveryBehavior, DiscoveryQuery};
+use super::discovery_history::{
+    AnswerContent, CallOutcome, DiscoveryBehavior, DiscoveryQuery, ResponseFault,
+};
 use super::discovery_state::ListAnswer;
 use super::first_byte_endpoint::header;
 use super::scripted_discovery::SharedDiscovery;
@@ -323,17 +325,17 @@
     async fn answer_with_fault(
         &mut self,
         call: &OpenCall,
-        fault: AnswerFault,
+        fault: ResponseFault,
     ) -> io::Result<ConnectionState> {
         match fault {
-            AnswerFault::BreakOff => self.break_off(call).await,
-            AnswerFault::Stall => self.stall(call).await,
-            AnswerFault::Lose => {
+            ResponseFault::BreakOff => self.break_off(call).await,
+            ResponseFault::Stall => self.stall(call).await,
+            ResponseFault::Lose => {
                 call.begin_answer(call.answer().outcome);
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
-            AnswerFault::Outdated(delay) => self.answer_late(call, delay, AnswerContent::WhenDue).await,
+            ResponseFault::Outdated(delay) => self.answer_late(call, delay, AnswerContent::WhenDue).await,
         }
     }
 
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -66,7 +66,7 @@
 
 /// A fault of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerFault {
+pub(crate) enum ResponseFault {
     /// Half of the body is written, then the connection is closed.
     BreakOff,
     /// Half of the body is written, then nothing more, and the connection stays open.
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -1,8 +1,8 @@
 //! The state of a scripted discovery service: its list and its history.
 
 use super::discovery_history::{
-    AnswerFault, BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory,
-    DiscoveryQuery, ListVersion, Route,
+    BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory, DiscoveryQuery,
+    ListVersion, ResponseFault, Route,
 };
 use super::discovery_stub::endpoint_list;
 use super::drain_rules::MAX_WATCH_GAP;
@@ -32,7 +32,7 @@
     /// Callers with an older version than the one of this index receive the complete list.
     replaced_in: usize,
     /// The fault of the next answer to each caller.
-    faults: BTreeMap<usize, AnswerFault>,
+    faults: BTreeMap<usize, ResponseFault>,
     /// The ids of the messages in the notices of forwarders.
     pub noticed_messages: BTreeSet<String>,
 }
@@ -158,12 +158,12 @@
     }
 
     /// Sets the fault of the next answer to a caller.
-    pub(super) fn set_answer_fault(&mut self, caller: usize, fault: AnswerFault) {
+    pub(super) fn set_answer_fault(&mut self, caller: usize, fault: ResponseFault) {
         self.faults.insert(caller, fault);
     }
 
     /// Removes and returns the fault of the next answer to a caller.
-    pub(super) fn take_fault(&mut self, caller: usize) -> Option<AnswerFault> {
+    pub(super) fn take_fault(&mut self, caller: usize) -> Option<ResponseFault> {
         self.faults.remove(&caller)
     }
 
--- a/tests/support/scripted_discovery.rs
+++ b/tests/support/scripted_discovery.rs
@@ -1,7 +1,7 @@
 //! A discovery service whose list and behavior the test can change at any time.
 
 use super::discovery_connection::serve_connection;
-use super::discovery_history::{AnswerFault, DiscoveryBehavior, DiscoveryHistory};
+use super::discovery_history::{DiscoveryBehavior, DiscoveryHistory, ResponseFault};
 use super::discovery_state::DiscoveryState;
 use super::{EVENT_TIMEOUT, POLL_INTERVAL};
 use serde_json::Value;
@@ -168,7 +168,7 @@
     }
 
     /// Sets the fault of the next answer to a caller.
-    pub(crate) fn set_answer_fault(&self, caller: usize, fault: AnswerFault) {
+    pub(crate) fn set_answer_fault(&self, caller: usize, fault: ResponseFault) {
         self.shared.lock().set_answer_fault(caller, fault);
     }
 
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -3,7 +3,7 @@
 use super::additional_faults;
 use super::random::Choices;
 use crate::support::{
-    AnswerContent, AnswerFault, ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, StartOptions,
+    AnswerContent, ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, ResponseFault, StartOptions,
 };
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
     /// The endpoint with this index is listed in service, for the first time or again.
     Add(usize),
     /// The next response to this member fails in this way.
-    FailResponse(usize, AnswerFault),
+    FailResponse(usize, ResponseFault),
     /// Discovery behaves like this for some time.
     Discovery(DiscoveryBehavior, Duration),
     /// Discovery resets all connections, and its revisions start from 1.
@@ -196,8 +196,9 @@
 ) {
     for _ in 0..choices.number(1..5) {
         let member = choices.number(0..senders) as usize;
-        let outdated = AnswerFault::Outdated(choices.milliseconds(50..300));
-        let fault = choices.one_of(&[AnswerFault::Stall, AnswerFault::BreakOff, AnswerFault::Lose, outdated]);
+        let outdated = ResponseFault::Outdated(choices.milliseconds(50..300));
+        let fault =
+            choices.one_of(&[ResponseFault::Stall, ResponseFault::BreakOff, ResponseFault::Lose, outdated]);
         incidents.push((choices.milliseconds(1000..LAST_FAULT_MS), Incident::FailResponse(member, fault)));
     }
     for percent in [60, 20] {
