--- a/tests/drain_lists.rs
+++ b/tests/drain_lists.rs
@@ -6,8 +6,8 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 use support::{
-    AnswerContent, DESTINATION, DiscoveryBehavior, DiscoveryMode, DrainScenario, FirstByteEndpoint,
-    LONGEST_DELAY, endpoint,
+    DESTINATION, DiscoveryBehavior, DiscoveryMode, DrainScenario, FirstByteEndpoint, LONGEST_DELAY,
+    ResponseContent, endpoint,
 };
 use tokio::time::sleep;
 
@@ -66,7 +66,7 @@
 async fn the_record_of_a_drain_cannot_be_parsed_and_responses_are_late() {
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 3).await;
     let delay = Duration::from_secs(1);
-    scenario.discovery.set_behavior(DiscoveryBehavior::Delayed { delay, content: AnswerContent::WhenDue });
+    scenario.discovery.set_behavior(DiscoveryBehavior::Delayed { delay, content: ResponseContent::WhenDue });
     scenario.discovery.change(unparsable_drain_record(&scenario));
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/drain_outages.rs
+++ b/tests/drain_outages.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use std::time::{Duration, Instant};
-use support::{AnswerContent, DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY};
+use support::{DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY, ResponseContent};
 use tokio::time::sleep;
 
 /// An outage after which callers have backed off.
@@ -134,7 +134,7 @@
     scenario.discovery.set_behavior(DiscoveryBehavior::Refuse);
     sleep(FIRST_FAILURES).await;
     scenario.drain();
-    let content = AnswerContent::WhenWritten;
+    let content = ResponseContent::WhenWritten;
     scenario.discovery.set_behavior(DiscoveryBehavior::Delayed { delay, content });
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/drain_restarts.rs
+++ b/tests/drain_restarts.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use support::{
-    AnswerContent, DiscoveryBehavior, DiscoveryMode, DrainScenario, EndpointStub, ForwarderEnd, FullListener,
-    LONGEST_DELAY, LONGEST_SLOW_DELAY, Predecessor, ResponseFault, run_cases,
+    DiscoveryBehavior, DiscoveryMode, DrainScenario, EndpointStub, ForwarderEnd, FullListener, LONGEST_DELAY,
+    LONGEST_SLOW_DELAY, Predecessor, ResponseContent, ResponseFault, run_cases,
 };
 use tokio::time::sleep;
 
@@ -30,7 +30,7 @@
 
 /// Discovery writes each response one second late.
 const LATE_RESPONSES: DiscoveryBehavior =
-    DiscoveryBehavior::Delayed { delay: Duration::from_secs(1), content: AnswerContent::WhenWritten };
+    DiscoveryBehavior::Delayed { delay: Duration::from_secs(1), content: ResponseContent::WhenWritten };
 
 /// An endpoint drains while discovery restarts with lower revisions.
 async fn drain_during_restart_at_lower_revision(
--- a/tests/drain_slow_discovery.rs
+++ b/tests/drain_slow_discovery.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 use support::{
-    AnswerContent, DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY, LONGEST_SLOW_DELAY,
+    DiscoveryBehavior, DiscoveryMode, DrainScenario, LONGEST_DELAY, LONGEST_SLOW_DELAY, ResponseContent,
 };
 use tokio::time::sleep;
 
@@ -21,48 +21,48 @@
     scenario.finish_after(LONGEST_SLOW_DELAY).await;
 }
 
-fn delayed(milliseconds: u64, content: AnswerContent) -> DiscoveryBehavior {
+fn delayed(milliseconds: u64, content: ResponseContent) -> DiscoveryBehavior {
     DiscoveryBehavior::Delayed { delay: Duration::from_millis(milliseconds), content }
 }
 
 #[tokio::test]
 async fn responses_arrive_after_0_8_seconds() {
-    drain_while(DiscoveryMode::Ask, 3, delayed(800, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Ask, 3, delayed(800, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
 async fn responses_arrive_after_1_5_seconds() {
-    drain_while(DiscoveryMode::Ask, 3, delayed(1500, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Ask, 3, delayed(1500, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
 async fn responses_arrive_after_3_seconds() {
-    drain_while(DiscoveryMode::Ask, 3, delayed(3000, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Ask, 3, delayed(3000, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
 async fn responses_with_the_latest_list_arrive_after_1_5_seconds() {
-    drain_while(DiscoveryMode::Ask, 3, delayed(1500, AnswerContent::WhenWritten)).await;
+    drain_while(DiscoveryMode::Ask, 3, delayed(1500, ResponseContent::WhenWritten)).await;
 }
 
 #[tokio::test]
 async fn pushed_lists_arrive_after_0_8_seconds() {
-    drain_while(DiscoveryMode::Push, 3, delayed(800, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Push, 3, delayed(800, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
 async fn pushed_lists_arrive_after_1_5_seconds() {
-    drain_while(DiscoveryMode::Push, 3, delayed(1500, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Push, 3, delayed(1500, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
 async fn pushed_lists_arrive_after_3_seconds() {
-    drain_while(DiscoveryMode::Push, 3, delayed(3000, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Push, 3, delayed(3000, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
 async fn responses_to_eight_senders_arrive_after_3_seconds() {
-    drain_while(DiscoveryMode::Ask, 8, delayed(3000, AnswerContent::WhenDue)).await;
+    drain_while(DiscoveryMode::Ask, 8, delayed(3000, ResponseContent::WhenDue)).await;
 }
 
 #[tokio::test]
--- a/tests/scripted_discovery.rs
+++ b/tests/scripted_discovery.rs
@@ -6,7 +6,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use support::{
-    AnswerContent, DiscoveryBehavior, POLL_INTERVAL, QUIET_PERIOD, ScriptedDiscovery, plain_endpoint, request,
+    DiscoveryBehavior, POLL_INTERVAL, QUIET_PERIOD, ResponseContent, ScriptedDiscovery, plain_endpoint,
+    request,
 };
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout};
@@ -116,7 +117,7 @@
 #[tokio::test]
 async fn slow_answers_are_late_and_interrupted_ones_never_complete() {
     let delay = QUIET_PERIOD;
-    let late = DiscoveryBehavior::Delayed { delay, content: AnswerContent::WhenDue };
+    let late = DiscoveryBehavior::Delayed { delay, content: ResponseContent::WhenDue };
     let overloaded = DiscoveryBehavior::OverloadedSerial { service_time: delay, patience: delay * 4 };
     for behavior in [late, DiscoveryBehavior::Drip { duration: delay }, overloaded] {
         let discovery = ScriptedDiscovery::start(vec![record("a")]).await;
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -1,7 +1,7 @@
 //! Serves a connection to a scripted discovery service.
 
 use super::discovery_history::{
-    AnswerContent, CallOutcome, DiscoveryBehavior, DiscoveryQuery, ResponseFault,
+    CallOutcome, DiscoveryBehavior, DiscoveryQuery, ResponseContent, ResponseFault,
 };
 use super::discovery_state::ListAnswer;
 use super::first_byte_endpoint::header;
@@ -255,15 +255,15 @@
         &mut self,
         call: &OpenCall,
         delay: Duration,
-        content: AnswerContent,
+        content: ResponseContent,
     ) -> io::Result<ConnectionState> {
         let answer_when_due = call.answer();
         if !self.wait_before_answer(call, delay).await {
             return Ok(ConnectionState::Closed);
         }
         let answer = match content {
-            AnswerContent::WhenDue => answer_when_due,
-            AnswerContent::WhenWritten => call.answer(),
+            ResponseContent::WhenDue => answer_when_due,
+            ResponseContent::WhenWritten => call.answer(),
         };
         self.write_answer(call, answer).await
     }
@@ -335,7 +335,7 @@
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
-            ResponseFault::Outdated(delay) => self.answer_late(call, delay, AnswerContent::WhenDue).await,
+            ResponseFault::Outdated(delay) => self.answer_late(call, delay, ResponseContent::WhenDue).await,
         }
     }
 
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -7,7 +7,7 @@
 
 /// What an answer of a slow service contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum AnswerContent {
+pub(crate) enum ResponseContent {
     /// The list as it was when the answer became due.
     WhenDue,
     /// The list as it is when the answer is written.
@@ -32,7 +32,7 @@
     /// Every answer is written with this delay.
     Delayed {
         delay: Duration,
-        content: AnswerContent,
+        content: ResponseContent,
     },
     /// The head of an answer is written at once, and its body in small pieces over this time.
     Drip {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -22,8 +22,8 @@
 mod steady_traffic;
 
 pub(crate) use discovery_history::{
-    AnswerContent, BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory,
-    DiscoveryQuery, ListVersion, ResponseFault, Route,
+    BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory, DiscoveryQuery,
+    ListVersion, ResponseContent, ResponseFault, Route,
 };
 pub(crate) use discovery_stub::{DiscoveryStub, endpoint, endpoint_list, plain_endpoint};
 pub(crate) use drain_checker::{DrainViolation, ForwarderTimeline, ViolationSummary, check_drains};
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -3,7 +3,8 @@
 use super::additional_faults;
 use super::random::Choices;
 use crate::support::{
-    AnswerContent, ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, ResponseFault, StartOptions,
+    ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, ResponseContent, ResponseFault,
+    StartOptions,
 };
 use std::time::Duration;
 
@@ -224,7 +225,7 @@
         DiscoveryBehavior::Reset,
         DiscoveryBehavior::NeverAccept,
     ];
-    let content = choices.one_of(&[AnswerContent::WhenDue, AnswerContent::WhenWritten]);
+    let content = choices.one_of(&[ResponseContent::WhenDue, ResponseContent::WhenWritten]);
     let slow = [
         DiscoveryBehavior::Silent,
         DiscoveryBehavior::Stall,
