--- a/tests/drain_ambiguous_failures.rs
+++ b/tests/drain_ambiguous_failures.rs
@@ -45,7 +45,7 @@
 #[tokio::test]
 async fn a_response_is_lost_right_before_the_service_goes_down() {
     let scenario = start_watching().await;
-    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
+    scenario.discovery.set_fault(CALLER, ResponseFault::Lose);
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.outage(DiscoveryBehavior::Refuse, OUTAGE).await;
--- a/tests/drain_partial_answers.rs
+++ b/tests/drain_partial_answers.rs
@@ -33,7 +33,7 @@
         if self.after_rejections {
             scenario.outage(DiscoveryBehavior::Reject503, BACKOFF_GROWN).await;
         }
-        scenario.discovery.set_answer_fault(CALLER, self.fault);
+        scenario.discovery.set_fault(CALLER, self.fault);
         scenario.drain();
         scenario
     }
@@ -63,7 +63,7 @@
     let scenario = DrainScenario::start(DiscoveryMode::Ask, 6).await;
     scenario.discovery.until_followed().await;
     sleep(SETTLED).await;
-    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
+    scenario.discovery.set_fault(CALLER, ResponseFault::Lose);
     scenario.drain();
     scenario.discovery.until_latest_list_is_written().await;
     scenario.discovery.set_behavior(DiscoveryBehavior::Silent);
@@ -83,7 +83,7 @@
     scenario.discovery.set_behavior(DiscoveryBehavior::Reset);
     scenario.drain();
     sleep(BACKOFF_GROWN).await;
-    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
+    scenario.discovery.set_fault(CALLER, ResponseFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/drain_restarts.rs
+++ b/tests/drain_restarts.rs
@@ -209,7 +209,7 @@
     scenario.drain();
     scenario.move_discovery();
     sleep(AFTER_RELOAD_AND_GRACE).await;
-    scenario.discovery.set_answer_fault(CALLER, ResponseFault::Lose);
+    scenario.discovery.set_fault(CALLER, ResponseFault::Lose);
     scenario.discovery.set_behavior(DiscoveryBehavior::Healthy);
     scenario.finish_after(LONGEST_DELAY).await;
 }
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -158,7 +158,7 @@
     }
 
     /// Sets the fault of the next answer to a caller.
-    pub(super) fn set_answer_fault(&mut self, caller: usize, fault: ResponseFault) {
+    pub(super) fn set_fault(&mut self, caller: usize, fault: ResponseFault) {
         self.faults.insert(caller, fault);
     }
 
--- a/tests/support/scripted_discovery.rs
+++ b/tests/support/scripted_discovery.rs
@@ -168,8 +168,8 @@
     }
 
     /// Sets the fault of the next answer to a caller.
-    pub(crate) fn set_answer_fault(&self, caller: usize, fault: ResponseFault) {
-        self.shared.lock().set_answer_fault(caller, fault);
+    pub(crate) fn set_fault(&self, caller: usize, fault: ResponseFault) {
+        self.shared.lock().set_fault(caller, fault);
     }
 
     /// Never answers the calls that are open now. Later calls are answered.
--- a/tests/support_soak/fleet.rs
+++ b/tests/support_soak/fleet.rs
@@ -91,7 +91,7 @@
                 shared.lock_discovery().change(record(&shared.endpoints, index, "in_service"));
             }
             Incident::RestartDiscovery => shared.lock_discovery().restart_at_revision(1),
-            Incident::FailResponse(member, fault) => shared.lock_discovery().set_answer_fault(member, fault),
+            Incident::FailResponse(member, fault) => shared.lock_discovery().set_fault(member, fault),
             Incident::SilenceWatches => shared.lock_discovery().silence_open_watches(),
             Incident::Discovery(behavior, duration) => {
                 shared.lock_discovery().set_behavior(behavior);
