--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -3,7 +3,7 @@
 use super::discovery_history::{
     CallOutcome, DiscoveryBehavior, DiscoveryQuery, ResponseContent, ResponseFault,
 };
-use super::discovery_state::ListAnswer;
+use super::discovery_state::ListResponse;
 use super::first_byte_endpoint::header;
 use super::scripted_discovery::SharedDiscovery;
 use std::future::pending;
@@ -85,7 +85,7 @@
         }
     }
 
-    fn answer(&self) -> ListAnswer {
+    fn answer(&self) -> ListResponse {
         self.shared.lock().answer(self.query)
     }
 }
@@ -244,7 +244,7 @@
         }
     }
 
-    async fn write_answer(&mut self, call: &OpenCall, answer: ListAnswer) -> io::Result<ConnectionState> {
+    async fn write_answer(&mut self, call: &OpenCall, answer: ListResponse) -> io::Result<ConnectionState> {
         call.begin_answer(answer.outcome);
         call.end(answer.outcome);
         self.respond("200 OK", &answer.body).await?;
@@ -315,7 +315,7 @@
     }
 
     async fn write_half(&mut self, call: &OpenCall) -> io::Result<()> {
-        let ListAnswer { body, outcome } = call.answer();
+        let ListResponse { body, outcome } = call.answer();
         call.begin_answer(outcome);
         sleep(self.shared.latency()).await;
         self.stream.write_all(head("200 OK", &body).as_bytes()).await?;
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -17,7 +17,7 @@
 }
 
 /// An answer to a call, before it is written.
-pub(super) struct ListAnswer {
+pub(super) struct ListResponse {
     pub body: String,
     pub outcome: CallOutcome,
 }
@@ -183,7 +183,7 @@
     }
 
     /// The answer that reports the present list.
-    pub(super) fn answer(&self, query: DiscoveryQuery) -> ListAnswer {
+    pub(super) fn answer(&self, query: DiscoveryQuery) -> ListResponse {
         let version = self.latest_version();
         let after_version = match query {
             DiscoveryQuery::CompleteList => None,
@@ -199,7 +199,7 @@
             .filter(|record| after_version.is_some() || record["state"] != "terminated")
             .collect();
         let body = endpoint_list(self.revision(), after_version.is_none(), records).to_string();
-        ListAnswer { body, outcome }
+        ListResponse { body, outcome }
     }
 
     /// The index of the version that a caller with this revision has; `None` if it needs the complete list.
