--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -59,8 +59,8 @@
         OpenCall { index, query, shared: shared.clone() }
     }
 
-    fn begin_answer(&self, outcome: CallOutcome) {
-        self.shared.lock().begin_answer(self.index, outcome);
+    fn begin_response(&self, outcome: CallOutcome) {
+        self.shared.lock().begin_response(self.index, outcome);
     }
 
     fn end(&self, outcome: CallOutcome) {
@@ -245,7 +245,7 @@
     }
 
     async fn write_answer(&mut self, call: &OpenCall, answer: ListResponse) -> io::Result<ConnectionState> {
-        call.begin_answer(answer.outcome);
+        call.begin_response(answer.outcome);
         call.end(answer.outcome);
         self.respond("200 OK", &answer.body).await?;
         Ok(ConnectionState::KeepAlive)
@@ -297,7 +297,7 @@
             }
             self.stream.write_all(piece).await?;
         }
-        call.begin_answer(answer.outcome);
+        call.begin_response(answer.outcome);
         call.end(answer.outcome);
         Ok(ConnectionState::KeepAlive)
     }
@@ -316,7 +316,7 @@
 
     async fn write_half(&mut self, call: &OpenCall) -> io::Result<()> {
         let ListResponse { body, outcome } = call.answer();
-        call.begin_answer(outcome);
+        call.begin_response(outcome);
         sleep(self.shared.latency()).await;
         self.stream.write_all(head("200 OK", &body).as_bytes()).await?;
         self.stream.write_all(&body.as_bytes()[..body.len() / 2]).await
@@ -331,7 +331,7 @@
             ResponseFault::BreakOff => self.break_off(call).await,
             ResponseFault::Stall => self.stall(call).await,
             ResponseFault::Lose => {
-                call.begin_answer(call.answer().outcome);
+                call.begin_response(call.answer().outcome);
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -168,7 +168,7 @@
     }
 
     /// Records that the first byte of an answer is written.
-    pub(super) fn begin_answer(&mut self, index: usize, outcome: CallOutcome) {
+    pub(super) fn begin_response(&mut self, index: usize, outcome: CallOutcome) {
         self.history.calls[index].written.get_or_insert(CallEnd { at: Instant::now(), outcome });
     }
 
