--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -183,7 +183,7 @@
             DiscoveryBehavior::Healthy
             | DiscoveryBehavior::Silent
             | DiscoveryBehavior::OverloadedByOthers { .. }
-            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_answer(call, call.answer()).await,
+            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_response(call, call.answer()).await,
         }
     }
 
@@ -244,7 +244,7 @@
         }
     }
 
-    async fn write_answer(&mut self, call: &OpenCall, answer: ListResponse) -> io::Result<ConnectionState> {
+    async fn write_response(&mut self, call: &OpenCall, answer: ListResponse) -> io::Result<ConnectionState> {
         call.begin_response(answer.outcome);
         call.end(answer.outcome);
         self.respond("200 OK", &answer.body).await?;
@@ -265,7 +265,7 @@
             ResponseContent::WhenDue => answer_when_due,
             ResponseContent::WhenWritten => call.answer(),
         };
-        self.write_answer(call, answer).await
+        self.write_response(call, answer).await
     }
 
     async fn answer_in_turn(
@@ -284,7 +284,7 @@
             call.end(CallOutcome::Abandoned);
             return Ok(ConnectionState::Closed);
         }
-        self.write_answer(call, call.answer()).await
+        self.write_response(call, call.answer()).await
     }
 
     async fn drip(&mut self, call: &OpenCall, duration: Duration) -> io::Result<ConnectionState> {
