--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -173,7 +173,7 @@
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
-            DiscoveryBehavior::Delayed { delay, content } => self.answer_late(call, delay, content).await,
+            DiscoveryBehavior::Delayed { delay, content } => self.respond_late(call, delay, content).await,
             DiscoveryBehavior::Drip { duration } => self.drip(call, duration).await,
             DiscoveryBehavior::BreakOff => self.break_off(call).await,
             DiscoveryBehavior::Stall => self.stall(call).await,
@@ -251,7 +251,7 @@
         Ok(ConnectionState::KeepAlive)
     }
 
-    async fn answer_late(
+    async fn respond_late(
         &mut self,
         call: &OpenCall,
         delay: Duration,
@@ -335,7 +335,7 @@
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
-            ResponseFault::Outdated(delay) => self.answer_late(call, delay, ResponseContent::WhenDue).await,
+            ResponseFault::Outdated(delay) => self.respond_late(call, delay, ResponseContent::WhenDue).await,
         }
     }
 
