--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -178,7 +178,7 @@
             DiscoveryBehavior::BreakOff => self.break_off(call).await,
             DiscoveryBehavior::Stall => self.stall(call).await,
             DiscoveryBehavior::OverloadedSerial { service_time, patience } => {
-                self.answer_in_turn(call, service_time, patience).await
+                self.respond_in_turn(call, service_time, patience).await
             }
             DiscoveryBehavior::Healthy
             | DiscoveryBehavior::Silent
@@ -268,7 +268,7 @@
         self.write_response(call, answer).await
     }
 
-    async fn answer_in_turn(
+    async fn respond_in_turn(
         &mut self,
         call: &OpenCall,
         service_time: Duration,
