--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -165,7 +165,7 @@
         let is_answering = behavior.is_reachable();
         let fault = if is_answering { self.shared.lock().take_fault(self.caller) } else { None };
         if let Some(fault) = fault {
-            return self.answer_with_fault(call, fault).await;
+            return self.respond_with_fault(call, fault).await;
         }
         match behavior {
             DiscoveryBehavior::Reject503 => self.reject(call).await,
@@ -322,7 +322,7 @@
         self.stream.write_all(&body.as_bytes()[..body.len() / 2]).await
     }
 
-    async fn answer_with_fault(
+    async fn respond_with_fault(
         &mut self,
         call: &OpenCall,
         fault: ResponseFault,
