--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -215,7 +215,7 @@
     }
 
     /// Waits for this delay, and returns whether the call can still be answered. Ends the call if it cannot.
-    async fn wait_before_answer(&self, call: &OpenCall, delay: Duration) -> bool {
+    async fn wait_before_response(&self, call: &OpenCall, delay: Duration) -> bool {
         let is_open = tokio::select! {
             () = sleep(delay) => true,
             () = self.until_closed() => false,
@@ -237,7 +237,7 @@
     }
 
     async fn reject_after(&mut self, call: &OpenCall, delay: Duration) -> io::Result<ConnectionState> {
-        if self.wait_before_answer(call, delay).await {
+        if self.wait_before_response(call, delay).await {
             self.reject(call).await
         } else {
             Ok(ConnectionState::Closed)
@@ -258,7 +258,7 @@
         content: ResponseContent,
     ) -> io::Result<ConnectionState> {
         let answer_when_due = call.answer();
-        if !self.wait_before_answer(call, delay).await {
+        if !self.wait_before_response(call, delay).await {
             return Ok(ConnectionState::Closed);
         }
         let answer = match content {
@@ -292,7 +292,7 @@
         self.stream.write_all(head("200 OK", &answer.body).as_bytes()).await?;
         let piece_length = answer.body.len().div_ceil(DRIP_PIECES as usize);
         for piece in answer.body.as_bytes().chunks(piece_length) {
-            if !self.wait_before_answer(call, duration / DRIP_PIECES).await {
+            if !self.wait_before_response(call, duration / DRIP_PIECES).await {
                 return Ok(ConnectionState::Closed);
             }
             self.stream.write_all(piece).await?;
