--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -85,8 +85,8 @@
         }
     }
 
-    fn answer(&self) -> ListResponse {
-        self.shared.lock().answer(self.query)
+    fn response(&self) -> ListResponse {
+        self.shared.lock().response(self.query)
     }
 }
 
@@ -162,8 +162,8 @@
         }
         let behavior = self.shared.behavior();
         // A service that is down writes no answer, so the fault remains for a later one.
-        let is_answering = behavior.is_reachable();
-        let fault = if is_answering { self.shared.lock().take_fault(self.caller) } else { None };
+        let is_responding = behavior.is_reachable();
+        let fault = if is_responding { self.shared.lock().take_fault(self.caller) } else { None };
         if let Some(fault) = fault {
             return self.respond_with_fault(call, fault).await;
         }
@@ -183,7 +183,7 @@
             DiscoveryBehavior::Healthy
             | DiscoveryBehavior::Silent
             | DiscoveryBehavior::OverloadedByOthers { .. }
-            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_response(call, call.answer()).await,
+            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_response(call, call.response()).await,
         }
     }
 
@@ -244,10 +244,14 @@
         }
     }
 
-    async fn write_response(&mut self, call: &OpenCall, answer: ListResponse) -> io::Result<ConnectionState> {
-        call.begin_response(answer.outcome);
-        call.end(answer.outcome);
-        self.respond("200 OK", &answer.body).await?;
+    async fn write_response(
+        &mut self,
+        call: &OpenCall,
+        response: ListResponse,
+    ) -> io::Result<ConnectionState> {
+        call.begin_response(response.outcome);
+        call.end(response.outcome);
+        self.respond("200 OK", &response.body).await?;
         Ok(ConnectionState::KeepAlive)
     }
 
@@ -257,15 +261,15 @@
         delay: Duration,
         content: ResponseContent,
     ) -> io::Result<ConnectionState> {
-        let answer_when_due = call.answer();
+        let response_when_due = call.response();
         if !self.wait_before_response(call, delay).await {
             return Ok(ConnectionState::Closed);
         }
-        let answer = match content {
-            ResponseContent::WhenDue => answer_when_due,
-            ResponseContent::WhenWritten => call.answer(),
+        let response = match content {
+            ResponseContent::WhenDue => response_when_due,
+            ResponseContent::WhenWritten => call.response(),
         };
-        self.write_response(call, answer).await
+        self.write_response(call, response).await
     }
 
     async fn respond_in_turn(
@@ -284,21 +288,21 @@
             call.end(CallOutcome::Abandoned);
             return Ok(ConnectionState::Closed);
         }
-        self.write_response(call, call.answer()).await
+        self.write_response(call, call.response()).await
     }
 
     async fn drip(&mut self, call: &OpenCall, duration: Duration) -> io::Result<ConnectionState> {
-        let answer = call.answer();
-        self.stream.write_all(head("200 OK", &answer.body).as_bytes()).await?;
-        let piece_length = answer.body.len().div_ceil(DRIP_PIECES as usize);
-        for piece in answer.body.as_bytes().chunks(piece_length) {
+        let response = call.response();
+        self.stream.write_all(head("200 OK", &response.body).as_bytes()).await?;
+        let piece_length = response.body.len().div_ceil(DRIP_PIECES as usize);
+        for piece in response.body.as_bytes().chunks(piece_length) {
             if !self.wait_before_response(call, duration / DRIP_PIECES).await {
                 return Ok(ConnectionState::Closed);
             }
             self.stream.write_all(piece).await?;
         }
-        call.begin_response(answer.outcome);
-        call.end(answer.outcome);
+        call.begin_response(response.outcome);
+        call.end(response.outcome);
         Ok(ConnectionState::KeepAlive)
     }
 
@@ -315,7 +319,7 @@
     }
 
     async fn write_half(&mut self, call: &OpenCall) -> io::Result<()> {
-        let ListResponse { body, outcome } = call.answer();
+        let ListResponse { body, outcome } = call.response();
         call.begin_response(outcome);
         sleep(self.shared.latency()).await;
         self.stream.write_all(head("200 OK", &body).as_bytes()).await?;
@@ -331,7 +335,7 @@
             ResponseFault::BreakOff => self.break_off(call).await,
             ResponseFault::Stall => self.stall(call).await,
             ResponseFault::Lose => {
-                call.begin_response(call.answer().outcome);
+                call.begin_response(call.response().outcome);
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -183,7 +183,7 @@
     }
 
     /// The answer that reports the present list.
-    pub(super) fn answer(&self, query: DiscoveryQuery) -> ListResponse {
+    pub(super) fn response(&self, query: DiscoveryQuery) -> ListResponse {
         let version = self.latest_version();
         let after_version = match query {
             DiscoveryQuery::CompleteList => None,
