--- a/tests/support/drain_rules.rs
+++ b/tests/support/drain_rules.rs
@@ -77,7 +77,7 @@
     /// When the list version with this index counts as sent to the process.
     pub(super) fn sent_time(&self, version: usize) -> Option<SentTime> {
         let made_at = self.history.versions[version].made_at;
-        let answers = self.answers(version);
+        let responses = self.responses(version);
         let silent_watches = self.calls().filter_map(|call| self.silent_watch(call, made_at));
         let by_mode = match self.settings.mode {
             DiscoveryMode::Ask => {
@@ -85,7 +85,7 @@
             }
             DiscoveryMode::Push => vec![self.agent(made_at)],
         };
-        let times = answers.chain(silent_watches).chain(by_mode.into_iter().flatten());
+        let times = responses.chain(silent_watches).chain(by_mode.into_iter().flatten());
         times.chain(self.reload(made_at)).min()
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// A change counts as sent with each answer that contains it, even if an earlier process made the call.
-    fn answers(&self, version: usize) -> impl Iterator<Item = SentTime> {
+    fn responses(&self, version: usize) -> impl Iterator<Item = SentTime> {
         let until = self.lifetime.end;
         let calls = self.history.calls.iter().filter(move |call| call.arrived_at < until);
         let answered = calls.filter(move |call| call.is_answered_with(version));
