--- a/tests/drain_crowded_discovery.rs
+++ b/tests/drain_crowded_discovery.rs
@@ -144,7 +144,8 @@
     async fn run(self) -> DrainScenario {
         let overloaded = DiscoveryBehavior::OverloadedByOthers { patience: self.patience };
         let started_at = Instant::now();
-        let scenario = DrainScenario::start_at(overloaded, DiscoveryMode::Ask, self.sender_count).await;
+        let scenario =
+            DrainScenario::start_with_behavior(overloaded, DiscoveryMode::Ask, self.sender_count).await;
         assert!(started_at.elapsed() < USABLE_LIST, "{self:?}: served after {:?}", started_at.elapsed());
         scenario.drain();
         sleep(LONGEST_DELAY).await;
--- a/tests/support/drain_scenario.rs
+++ b/tests/support/drain_scenario.rs
@@ -72,7 +72,7 @@
 
     /// Starts with a service that has this behavior from the beginning, and waits until the endpoint that
     /// will drain is called.
-    pub(crate) async fn start_at(
+    pub(crate) async fn start_with_behavior(
         behavior: DiscoveryBehavior,
         mode: DiscoveryMode,
         sender_count: u64,
