--- a/tests/drain_connections.rs
+++ b/tests/drain_connections.rs
@@ -48,10 +48,11 @@
 /// to connect.
 async fn start_connecting() -> DrainScenario {
     let endpoints = [FirstByteEndpoint::start_full().await, FirstByteEndpoint::start().await];
-    let scenario = DrainScenario::start_between(DiscoveryMode::Ask, 3, "plain", endpoints, |configuration| {
-        configuration["settings"]["limits"]["connectTimeout"] = json!(4000.0);
-    })
-    .await;
+    let scenario =
+        DrainScenario::start_with_endpoints(DiscoveryMode::Ask, 3, "plain", endpoints, |configuration| {
+            configuration["settings"]["limits"]["connectTimeout"] = json!(4000.0);
+        })
+        .await;
     scenario.discovery.until_followed().await;
     sleep(CONNECTING).await;
     scenario
--- a/tests/support/drain_scenario.rs
+++ b/tests/support/drain_scenario.rs
@@ -65,7 +65,7 @@
     ) -> Self {
         let (draining, staying) = (FirstByteEndpoint::start().await, FirstByteEndpoint::start().await);
         let scenario =
-            DrainScenario::start_between(mode, sender_count, kind, [draining, staying], change).await;
+            DrainScenario::start_with_endpoints(mode, sender_count, kind, [draining, staying], change).await;
         scenario.until_called(&scenario.draining).await;
         scenario
     }
@@ -85,7 +85,7 @@
     }
 
     /// Starts with these endpoints: the one that will drain and the one that will stay.
-    pub(crate) async fn start_between(
+    pub(crate) async fn start_with_endpoints(
         mode: DiscoveryMode,
         sender_count: u64,
         kind: &str,
