--- a/tests/support/drain_scenario.rs
+++ b/tests/support/drain_scenario.rs
@@ -79,7 +79,7 @@
     ) -> Self {
         let endpoints = [FirstByteEndpoint::start().await, FirstByteEndpoint::start().await];
         let scenario =
-            DrainScenario::start_behaving(behavior, mode, sender_count, "plain", endpoints, |_| {}).await;
+            DrainScenario::start_scenario(behavior, mode, sender_count, "plain", endpoints, |_| {}).await;
         scenario.until_called(&scenario.draining).await;
         scenario
     }
@@ -93,10 +93,10 @@
         change: impl FnOnce(&mut Value),
     ) -> Self {
         let healthy = DiscoveryBehavior::Healthy;
-        DrainScenario::start_behaving(healthy, mode, sender_count, kind, endpoints, change).await
+        DrainScenario::start_scenario(healthy, mode, sender_count, kind, endpoints, change).await
     }
 
-    async fn start_behaving(
+    async fn start_scenario(
         behavior: DiscoveryBehavior,
         mode: DiscoveryMode,
         sender_count: u64,
