--- a/tests/endpoint_connections.rs
+++ b/tests/endpoint_connections.rs
@@ -111,7 +111,7 @@
 }
 
 #[tokio::test]
-async fn connections_are_no_longer_reused_at_an_age_at_which_they_were_found_dead() {
+async fn connections_are_no_longer_reused_at_an_age_at_which_they_were_stale() {
     let Fixture { discovery: _discovery, endpoint: raw, forwarder } =
         Fixture::start_raw("plain", |_| {}).await;
     let mut idle: Option<RawConnection> = None;
