--- a/tests/drain_checker.rs
+++ b/tests/drain_checker.rs
@@ -94,21 +94,21 @@
     DiscoveryQuery::Watch { since_revision: 1, wait: Duration::from_secs(2) }
 }
 
-/// An answer with the list before the change.
+/// A response with the list before the change.
 const OLD_LIST: CallOutcome = CallOutcome::Answered { after_version: None, version: 0 };
-/// An answer with the change to a watch that has the first list.
+/// A response with the change to a watch that has the first list.
 const CHANGE: CallOutcome = CallOutcome::Answered { after_version: Some(0), version: 1 };
-/// An answer without changes, from a service that has restarted at a lower revision than the caller has.
+/// A response without changes, from a service that has restarted at a lower revision than the caller has.
 const NO_CHANGE: CallOutcome = CallOutcome::Answered { after_version: Some(1), version: 1 };
 
 #[test]
-fn a_change_counts_as_sent_when_its_answer_is_written() {
+fn a_change_counts_as_sent_when_its_response_is_written() {
     let run = ComposedRun::new(DiscoveryMode::Ask, 1000).call(watch(), 100, Some((1800, CHANGE)));
     run.assert_sent(1800, SentRule::Answer);
 }
 
 #[test]
-fn a_change_counts_as_sent_when_the_first_byte_of_its_answer_is_written() {
+fn a_change_counts_as_sent_when_the_first_byte_of_its_response_is_written() {
     let mut run = ComposedRun::new(DiscoveryMode::Ask, 1000).call(watch(), 100, None);
     run.history.calls[0].written = Some(CallEnd { at: run.at(1300), outcome: CHANGE });
     run.assert_sent(1300, SentRule::Answer);
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_change_right_after_an_answer_to_a_watch_counts_as_sent_even_if_the_next_call_is_late() {
+fn a_change_right_after_a_response_to_a_watch_counts_as_sent_even_if_the_next_call_is_late() {
     let answered = || ComposedRun::new(DiscoveryMode::Ask, 2250).call(watch(), 100, Some((2100, OLD_LIST)));
     answered().call(watch(), 2500, None).assert_sent(2250, SentRule::WatchGap);
     answered().assert_sent(2250, SentRule::WatchGap);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_empty_answer_of_a_restarted_service_does_not_cancel_the_time_limit() {
+fn an_empty_response_of_a_restarted_service_does_not_cancel_the_time_limit() {
     let run = ComposedRun::new(DiscoveryMode::Ask, 1000)
         .call(watch(), 100, Some((900, CallOutcome::Broken)))
         .call(watch(), 1100, Some((1100, NO_CHANGE)))
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_change_does_not_count_as_sent_with_an_answer_without_it() {
+fn a_change_does_not_count_as_sent_with_a_response_without_it() {
     let mut run = ComposedRun::new(DiscoveryMode::Ask, 1000)
         .call(watch(), 100, Some((900, CallOutcome::Broken)))
         .call(watch(), 2500, Some((2500, CallOutcome::Answered { after_version: Some(1), version: 2 })));
--- a/tests/scripted_discovery.rs
+++ b/tests/scripted_discovery.rs
@@ -115,7 +115,7 @@
 }
 
 #[tokio::test]
-async fn slow_answers_are_late_and_interrupted_ones_never_complete() {
+async fn slow_responses_are_late_and_interrupted_ones_never_complete() {
     let delay = QUIET_PERIOD;
     let late = DiscoveryBehavior::Delayed { delay, content: ResponseContent::WhenDue };
     let overloaded = DiscoveryBehavior::OverloadedSerial { service_time: delay, patience: delay * 4 };
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -77,7 +77,7 @@
         end.is_some_and(|end| end.outcome == CallOutcome::Rejected)
     }
 
-    /// Whether the answer is due: the call does not wait for a change, or the caller has another revision.
+    /// Whether the response is due: the call does not wait for a change, or the caller has another revision.
     fn is_due(&self) -> bool {
         match self.query {
             DiscoveryQuery::CompleteList => true,
@@ -161,7 +161,7 @@
             return self.reject(call).await;
         }
         let behavior = self.shared.behavior();
-        // A service that is down writes no answer, so the fault remains for a later one.
+        // A service that is down writes no response, so the fault remains for a later one.
         let is_responding = behavior.is_reachable();
         let fault = if is_responding { self.shared.lock().take_fault(self.caller) } else { None };
         if let Some(fault) = fault {
--- a/tests/support/discovery_history.rs
+++ b/tests/support/discovery_history.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// What an answer of a slow service contains.
+/// What a response of a slow service contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseContent {
-    /// The list as it was when the answer became due.
+    /// The list as it was when the response became due.
     WhenDue,
-    /// The list as it is when the answer is written.
+    /// The list as it is when the response is written.
     WhenWritten,
 }
 
@@ -29,12 +29,12 @@
     /// Calls are read and never answered, not even after this behavior ends. The same applies to the calls
     /// that were open when it began.
     Silent,
-    /// Every answer is written with this delay.
+    /// Every response is written with this delay.
     Delayed {
         delay: Duration,
         content: ResponseContent,
     },
-    /// The head of an answer is written at once, and its body in small pieces over this time.
+    /// The head of a response is written at once, and its body in small pieces over this time.
     Drip {
         duration: Duration,
     },
@@ -64,17 +64,17 @@
     },
 }
 
-/// A fault of one answer.
+/// A fault of one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResponseFault {
     /// Half of the body is written, then the connection is closed.
     BreakOff,
     /// Half of the body is written, then nothing more, and the connection stays open.
     Stall,
-    /// The connection is reset when the answer should be written, so that nothing of it arrives. The answer
-    /// is recorded as written.
+    /// The connection is reset when the response should be written, so that nothing of it arrives. The
+    /// response is recorded as written.
     Lose,
-    /// The answer contains the list as it was when the answer became due, and is written with this delay.
+    /// The response contains the list as it was when the response became due, and is written with this delay.
     Outdated(Duration),
 }
 
@@ -137,7 +137,7 @@
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOutcome {
-    /// An answer with the versions after `after_version` up to `version`, by index, was written.
+    /// A response with the versions after `after_version` up to `version`, by index, was written.
     Answered { after_version: Option<usize>, version: usize },
     /// An error status was written.
     Rejected,
@@ -156,7 +156,7 @@
     pub arrived_at: Instant,
     /// Since when the call can no longer be answered, although its connection stays open.
     pub silent_since: Option<Instant>,
-    /// When the first byte of an answer was written, and its contents. It may not arrive completely.
+    /// When the first byte of a response was written, and its contents. It may not arrive completely.
     pub written: Option<CallEnd>,
     pub end: Option<CallEnd>,
 }
@@ -169,7 +169,7 @@
 }
 
 impl DiscoveryCall {
-    /// Whether an answer with the version of this index was written, whether or not it arrived.
+    /// Whether a response with the version of this index was written, whether or not it arrived.
     pub(crate) fn is_answered_with(&self, index: usize) -> bool {
         self.written.is_some_and(|written| match written.outcome {
             CallOutcome::Answered { after_version, version } => {
@@ -179,7 +179,7 @@
         })
     }
 
-    /// Whether the call ended without an answer.
+    /// Whether the call ended without a response.
     pub(crate) fn has_failed(&self) -> bool {
         self.end.is_some_and(|end| !matches!(end.outcome, CallOutcome::Answered { .. }))
     }
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -16,7 +16,7 @@
     changed_in: usize,
 }
 
-/// An answer to a call, before it is written.
+/// A response to a call, before it is written.
 pub(super) struct ListResponse {
     pub body: String,
     pub outcome: CallOutcome,
@@ -31,7 +31,7 @@
     oldest: (u64, usize),
     /// Callers with an older version than the one of this index receive the complete list.
     replaced_in: usize,
-    /// The fault of the next answer to each caller.
+    /// The fault of the next response to each caller.
     faults: BTreeMap<usize, ResponseFault>,
     /// The ids of the messages in the notices of forwarders.
     pub noticed_messages: BTreeSet<String>,
@@ -157,17 +157,17 @@
         self.history.calls.len() - 1
     }
 
-    /// Sets the fault of the next answer to a caller.
+    /// Sets the fault of the next response to a caller.
     pub(super) fn set_fault(&mut self, caller: usize, fault: ResponseFault) {
         self.faults.insert(caller, fault);
     }
 
-    /// Removes and returns the fault of the next answer to a caller.
+    /// Removes and returns the fault of the next response to a caller.
     pub(super) fn take_fault(&mut self, caller: usize) -> Option<ResponseFault> {
         self.faults.remove(&caller)
     }
 
-    /// Records that the first byte of an answer is written.
+    /// Records that the first byte of a response is written.
     pub(super) fn begin_response(&mut self, index: usize, outcome: CallOutcome) {
         self.history.calls[index].written.get_or_insert(CallEnd { at: Instant::now(), outcome });
     }
@@ -182,7 +182,7 @@
         revision != self.revision()
     }
 
-    /// The answer that reports the present list.
+    /// The response that reports the present list.
     pub(super) fn response(&self, query: DiscoveryQuery) -> ListResponse {
         let version = self.latest_version();
         let after_version = match query {
--- a/tests/support/drain_checker.rs
+++ b/tests/support/drain_checker.rs
@@ -1,7 +1,7 @@
 //! Checks the drain rule: requests to an endpoint that drains or was removed stop within a grace period.
 //!
-//! The grace period starts when the change of the endpoint list counts as sent to the forwarder: when an
-//! answer with the change is written, even if the answer is lost, or at one of the other instants that
+//! The grace period starts when the change of the endpoint list counts as sent to the forwarder: when a
+//! response with the change is written, even if the response is lost, or at one of the other instants that
 //! `drain_rules` gives if that is earlier. The period lasts `stop_sending_within` and an allowance for
 //! sockets. If the forwarder is upgraded meanwhile, it starts [`MAX_DELAY_AFTER_UPGRADE`] after the successor
 //! was ready. A first byte of a request that arrives at the endpoint after the period is a violation, unless
--- a/tests/support/drain_rules.rs
+++ b/tests/support/drain_rules.rs
@@ -10,12 +10,12 @@
 /// A change counts as sent this long after the service had it and could be reached, or this long after a
 /// watch fell silent.
 const MAX_STALENESS: Duration = Duration::from_secs(6);
-/// A watch is overdue this long after the end of its wait. Until then, a change that it misses by its silence
-/// does not count as sent.
+/// A watch is overdue this long after the end of its wait. Until then, a change that the silent watch
+/// misses does not count as sent.
 const MAX_SILENCE_AFTER_WAIT: Duration = Duration::from_secs(2);
 /// A change counts as sent this long after the signal to use another address of discovery.
 const MAX_DELAY_AFTER_RELOAD: Duration = Duration::from_secs(4);
-/// A call continues a watch if it arrives within this time after the answer to the watch.
+/// A call continues a watch if it arrives within this time after the response to the watch.
 pub(super) const MAX_WATCH_GAP: Duration = Duration::from_millis(200);
 /// After a failed call, the list may be older than usual by this factor.
 const AGE_FACTOR_AFTER_FAILURE: u32 = 4;
@@ -40,9 +40,9 @@
 /// The rule by which a change counts as sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum SentRule {
-    /// An answer with the change was written, whether or not it arrived completely.
+    /// A response with the change was written, whether or not it arrived completely.
     Answer,
-    /// The change was made between an answer to a watch and the next call.
+    /// The change was made between a response to a watch and the next call.
     WatchGap,
     /// A watch that missed the change has been silent for the maximum time.
     SilentWatch,
@@ -93,7 +93,7 @@
         self.history.calls.iter().filter(|call| self.lifetime.contains(&call.arrived_at))
     }
 
-    /// A change counts as sent with each answer that contains it, even if an earlier process made the call.
+    /// A change counts as sent with each response that contains it, even if an earlier process made the call.
     fn responses(&self, version: usize) -> impl Iterator<Item = SentTime> {
         let until = self.lifetime.end;
         let calls = self.history.calls.iter().filter(move |call| call.arrived_at < until);
@@ -101,9 +101,9 @@
         answered.filter_map(|call| Some(SentTime { at: call.written?.at, rule: SentRule::Answer }))
     }
 
-    /// A change between an answer to a watch and the next call counts as sent at once, up to `MAX_WATCH_GAP`
-    /// after the answer, whether or not the next call continues the watch: this is unknown when the change is
-    /// made. A watch ends when the service goes down.
+    /// A change between a response to a watch and the next call counts as sent at once, up to `MAX_WATCH_GAP`
+    /// after the response, whether or not the next call continues the watch: this is unknown when the change
+    /// is made. A watch ends when the service goes down.
     fn watch_gap(&self, made_at: Instant) -> Option<SentTime> {
         if !self.history.behavior_at(made_at).is_reachable() {
             return None;
--- a/tests/support/scripted_discovery.rs
+++ b/tests/support/scripted_discovery.rs
@@ -167,7 +167,7 @@
         self.shared.notify();
     }
 
-    /// Sets the fault of the next answer to a caller.
+    /// Sets the fault of the next response to a caller.
     pub(crate) fn set_fault(&self, caller: usize, fault: ResponseFault) {
         self.shared.lock().set_fault(caller, fault);
     }
@@ -235,7 +235,7 @@
         self.until(|history| history.calls.iter().any(|call| !call.has_failed())).await;
     }
 
-    /// Waits until an answer with the latest version of the list was written.
+    /// Waits until a response with the latest version of the list was written.
     pub(crate) async fn until_latest_list_is_written(&self) {
         self.until(|history| {
             let latest = history.versions.len() - 1;
