--- a/tests/endpoint_connections.rs
+++ b/tests/endpoint_connections.rs
@@ -115,7 +115,7 @@
     let Fixture { discovery: _discovery, endpoint: raw, forwarder } =
         Fixture::start_raw("plain", |_| {}).await;
     let mut idle: Option<RawConnection> = None;
-    // Each connection is dead at its second call. Two dead connections of an age are enough to avoid it.
+    // Each connection is stale at its second call. Two stale connections of an age are enough to avoid it.
     for n in 0..40 {
         let id = format!("m{n}");
         forwarder.submit("keyed", &id, 20_000).await;
--- a/tests/properties.rs
+++ b/tests/properties.rs
@@ -1,5 +1,5 @@
-//! The rules of the decision module, checked over random valid events. The checkers know the rules, and not
-//! how the module decides.
+//! The rules of the decision module, checked over random valid events. The checkers apply the rules and
+//! do not depend on how the module decides.
 
 mod common;
 use common::*;
--- a/tests/simulator_adapter_history.rs
+++ b/tests/simulator_adapter_history.rs
@@ -1,4 +1,4 @@
-//! Long seeded histories of the simulator adapter, text in and text out, compared with digests recorded
+//! Long seeded histories of frames and replies of the simulator adapter, compared with digests recorded
 //! earlier. Two instances of different settings run through frames that follow from their replies: calls that
 //! were sent return, requested wake-ups arrive, and subscriptions are answered with lists.
 //!
--- a/tests/support_fleet/destination.rs
+++ b/tests/support_fleet/destination.rs
@@ -94,7 +94,7 @@
         capacity * (initial_capacity + (1.0 - initial_capacity) * progress)
     }
 
-    /// The number of calls that the route withstands in one window.
+    /// The number of calls that may arrive in one window without overloading the route.
     fn budget(&self, now: Micros) -> f64 {
         let window = self.scenario.overload_window as f64 / SEC as f64;
         let allowed = self.scenario.overload_factor * self.capacity(now) * window;
--- a/tests/support_history/adapter/endpoint_list.rs
+++ b/tests/support_history/adapter/endpoint_list.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 
 impl Simulator {
-    /// Writes a catalog, of all endpoints or for a patch of a few, and the list that refers to it.
+    /// Writes a catalog and the list that refers to it. A patch contains a few endpoints, other lists all.
     pub(super) fn send_list(&mut self, index: usize, mode: &str, frame: &mut String) {
         self.sheet += 1;
         let rows = if mode == "patch" { 1 + self.generator.below(3) } else { ALL_ENDPOINTS };
--- a/tests/support_history/adapter/mod.rs
+++ b/tests/support_history/adapter/mod.rs
@@ -1,4 +1,5 @@
-//! The recorded histories of the simulator adapter: a simulator that answers its replies with further frames.
+//! The recorded histories of the simulator adapter: a simulator whose frames depend on the
+//! replies of the adapter.
 
 mod endpoint_list;
 mod instance;
--- a/tests/support_history/decisions/attempts.rs
+++ b/tests/support_history/decisions/attempts.rs
@@ -28,7 +28,8 @@
 }
 
 impl History<'_> {
-    /// Starts an attempt. Attempts of one turn to one endpoint travel in one call, and mostly end alike.
+    /// Starts an attempt. Attempts of one turn to one endpoint travel in one call, and most of them
+    /// end in the same way.
     pub(super) fn send(&mut self, id: u64, endpoint: u64, timeout: i64) {
         let listed = self.endpoints[&endpoint];
         let batch = if listed.kind == BATCHED { BATCH } else { 1 };
