--- a/tests/client_connections.rs
+++ b/tests/client_connections.rs
@@ -156,7 +156,7 @@
         let client = RawConnection::open(forwarder.address).await;
         let flood: String = (0..200).map(|m| submission_text(&format!("disconnected{n}-{m}"))).collect();
         let (_, mut write) = client.stream.into_split();
-        write.write_all(flood.as_bytes()).await.expect("it reads");
+        write.write_all(flood.as_bytes()).await.expect("the forwarder reads");
     }
     let mut client = RawConnection::open(forwarder.address).await;
     // A few bytes at a time, and all of them at once.
@@ -220,7 +220,7 @@
     for n in 0..7 {
         let mut client = RawConnection::open(fixture.forwarder.address).await;
         let text = submission_text(&format!("m{n}"));
-        let head = text.find("Content-Length").expect("it has one");
+        let head = text.find("Content-Length").expect("a Content-Length header");
         client.write(&text[..head]).await;
         clients.push((client, text[head..].to_owned()));
     }
@@ -353,7 +353,7 @@
         client.write(&large).await;
         clients.push(client);
     }
-    let mut rejected = clients.pop().expect("there are three");
+    let mut rejected = clients.pop().expect("three clients");
     let reply = rejected.read_head().await;
     assert!(
         reply.starts_with("HTTP/1.1 503") && reply.to_lowercase().contains("connection: close"),
@@ -375,7 +375,9 @@
         client.write(&submission_text("m").replace("Content-Length: 2", &body)).await;
         let junk = vec![b'x'; length];
         // The write fails if the forwarder closes the connection before the whole body is written.
-        let _ = timeout(EVENT_TIMEOUT, client.stream.write_all(&junk)).await.expect("it is read or closed");
+        let _ = timeout(EVENT_TIMEOUT, client.stream.write_all(&junk))
+            .await
+            .expect("the junk is read or the connection closed");
         client.read_to_end().await;
         assert!(opened_at.elapsed() < Duration::from_secs(6), "{:?}", opened_at.elapsed());
     }
--- a/tests/endpoint_connections.rs
+++ b/tests/endpoint_connections.rs
@@ -222,7 +222,8 @@
         full.queued.iter().map(|stream| stream.local_addr().expect("it is open")).collect();
     let mut established = Vec::new();
     while established.len() < 2 {
-        let accepted = timeout(EVENT_TIMEOUT, full.listener.accept()).await.expect("a connection comes");
+        let accepted =
+            timeout(EVENT_TIMEOUT, full.listener.accept()).await.expect("a connection arrives in time");
         let (stream, client_address) = accepted.expect("it listens");
         // Connections of the test itself are skipped.
         if !queued.contains(&client_address) {
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -105,7 +105,7 @@
     assert_eq!(fixture.forwarder.admin_command("drain").await, "ACK draining\n");
     assert_eq!(fixture.forwarder.admin_command("ready").await, "NAK draining\n");
     let not_ready = async {
-        while fixture.forwarder.readiness_response().await.expect("it serves").status() == 200 {
+        while fixture.forwarder.readiness_response().await.expect("a response").status() == 200 {
             sleep(POLL_INTERVAL).await;
         }
     };
@@ -129,7 +129,7 @@
     }
     assert_eq!(fixture.forwarder.admin_command("resume").await, "ACK taking clients\n");
     assert_eq!(fixture.forwarder.admin_command("ready").await, "ACK ready\n");
-    let ready = fixture.forwarder.readiness_response().await.expect("it serves");
+    let ready = fixture.forwarder.readiness_response().await.expect("a response");
     assert!(ready.status() == 200 && !ready.headers().contains_key("connection"));
     fixture.forwarder.until_delivered("keyed", "late").await;
 }
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -20,7 +20,7 @@
     // New clients are still served, and their connections are closed after the reply.
     let draining = async {
         loop {
-            let ready = fixture.forwarder.readiness_response().await.expect("it serves");
+            let ready = fixture.forwarder.readiness_response().await.expect("a response");
             if ready.headers().get("connection").is_some_and(|value| value == "close") {
                 return;
             }
--- a/tests/state_folder.rs
+++ b/tests/state_folder.rs
@@ -96,7 +96,7 @@
     let written = timeout(REACTION_TIMEOUT, connection.read(&mut [0; 1])).await.expect("it is closed");
     assert_eq!(written.expect("closed without a reset"), 0);
     forwarder.limit_files(None);
-    timeout(REACTION_TIMEOUT, full.wait_for_write()).await.expect("it is sent later");
+    timeout(REACTION_TIMEOUT, full.wait_for_write()).await.expect("the call is written later");
 }
 
 #[tokio::test]
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -254,8 +254,8 @@
     }
 }
 
-/// Plans the steps of a member: its process may be unable to write its state, be paused, get another address
-/// of discovery and be upgraded, and is restarted, later than that of the member before.
+/// Plans the steps of a member: possibly a time in which its state cannot be written, a pause, a move of
+/// discovery and an upgrade, and then a restart, which is later than that of the member before.
 fn plan_member(choices: &mut Choices, member: u64, senders: u64) -> MemberPlan {
     let restart_interval = MEMBER_RESTART_INTERVAL.min(MAX_ROLLING_RESTART / senders as u32);
     let mut steps =
