--- a/tests/endpoint_connections.rs
+++ b/tests/endpoint_connections.rs
@@ -111,11 +111,11 @@
 }
 
 #[tokio::test]
-async fn connections_are_no_longer_reused_at_an_age_at_which_they_were_found_dead() {
+async fn connections_are_no_longer_reused_at_an_age_at_which_they_were_stale() {
     let Fixture { discovery: _discovery, endpoint: raw, forwarder } =
         Fixture::start_raw("plain", |_| {}).await;
     let mut idle: Option<RawConnection> = None;
-    // Each connection is dead at its second call. Two dead connections of an age are enough to avoid it.
+    // Each connection is stale at its second call. Two stale connections of an age are enough to avoid it.
     for n in 0..40 {
         let id = format!("m{n}");
         forwarder.submit("keyed", &id, 20_000).await;
@@ -222,7 +222,8 @@
         full.queued.iter().map(|stream| stream.local_addr().expect("it is open")).collect();
     let mut established = Vec::new();
     while established.len() < 2 {
-        let accepted = timeout(EVENT_TIMEOUT, full.listener.accept()).await.expect("a connection comes");
+        let accepted =
+            timeout(EVENT_TIMEOUT, full.listener.accept()).await.expect("a connection arrives in time");
         let (stream, client_address) = accepted.expect("it listens");
         // Connections of the test itself are skipped.
         if !queued.contains(&client_address) {
--- a/tests/support/discovery_connection.rs
+++ b/tests/support/discovery_connection.rs
@@ -1,7 +1,9 @@
 //! Serves a connection to a scripted discovery service.
 
-use super::discovery_history::{AnswerContent, AnswerFault, CallOutcome, DiscoveryBehavior, DiscoveryQuery};
-use super::discovery_state::ListAnswer;
+use super::discovery_history::{
+    CallOutcome, DiscoveryBehavior, DiscoveryQuery, ResponseContent, ResponseFault,
+};
+use super::discovery_state::ListResponse;
 use super::first_byte_endpoint::header;
 use super::scripted_discovery::SharedDiscovery;
 use std::future::pending;
@@ -57,8 +59,8 @@
         OpenCall { index, query, shared: shared.clone() }
     }
 
-    fn begin_answer(&self, outcome: CallOutcome) {
-        self.shared.lock().begin_answer(self.index, outcome);
+    fn begin_response(&self, outcome: CallOutcome) {
+        self.shared.lock().begin_response(self.index, outcome);
     }
 
     fn end(&self, outcome: CallOutcome) {
@@ -75,7 +77,7 @@
         end.is_some_and(|end| end.outcome == CallOutcome::Rejected)
     }
 
-    /// Whether the answer is due: the call does not wait for a change, or the caller has another revision.
+    /// Whether the response is due: the call does not wait for a change, or the caller has another revision.
     fn is_due(&self) -> bool {
         match self.query {
             DiscoveryQuery::CompleteList => true,
@@ -83,8 +85,8 @@
         }
     }
 
-    fn answer(&self) -> ListAnswer {
-        self.shared.lock().answer(self.query)
+    fn response(&self) -> ListResponse {
+        self.shared.lock().response(self.query)
     }
 }
 
@@ -159,11 +161,11 @@
             return self.reject(call).await;
         }
         let behavior = self.shared.behavior();
-        // A service that is down writes no answer, so the fault remains for a later one.
-        let is_answering = behavior.is_reachable();
-        let fault = if is_answering { self.shared.lock().take_fault(self.caller) } else { None };
+        // A service that is down writes no response, so the fault remains for a later one.
+        let is_responding = behavior.is_reachable();
+        let fault = if is_responding { self.shared.lock().take_fault(self.caller) } else { None };
         if let Some(fault) = fault {
-            return self.answer_with_fault(call, fault).await;
+            return self.respond_with_fault(call, fault).await;
         }
         match behavior {
             DiscoveryBehavior::Reject503 => self.reject(call).await,
@@ -171,17 +173,17 @@
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
-            DiscoveryBehavior::Delayed { delay, content } => self.answer_late(call, delay, content).await,
+            DiscoveryBehavior::Delayed { delay, content } => self.respond_late(call, delay, content).await,
             DiscoveryBehavior::Drip { duration } => self.drip(call, duration).await,
             DiscoveryBehavior::BreakOff => self.break_off(call).await,
             DiscoveryBehavior::Stall => self.stall(call).await,
             DiscoveryBehavior::OverloadedSerial { service_time, patience } => {
-                self.answer_in_turn(call, service_time, patience).await
+                self.respond_in_turn(call, service_time, patience).await
             }
             DiscoveryBehavior::Healthy
             | DiscoveryBehavior::Silent
             | DiscoveryBehavior::OverloadedByOthers { .. }
-            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_answer(call, call.answer()).await,
+            | DiscoveryBehavior::OverloadedQueue { .. } => self.write_response(call, call.response()).await,
         }
     }
 
@@ -213,7 +215,7 @@
     }
 
     /// Waits for this delay, and returns whether the call can still be answered. Ends the call if it cannot.
-    async fn wait_before_answer(&self, call: &OpenCall, delay: Duration) -> bool {
+    async fn wait_before_response(&self, call: &OpenCall, delay: Duration) -> bool {
         let is_open = tokio::select! {
             () = sleep(delay) => true,
             () = self.until_closed() => false,
@@ -235,38 +237,42 @@
     }
 
     async fn reject_after(&mut self, call: &OpenCall, delay: Duration) -> io::Result<ConnectionState> {
-        if self.wait_before_answer(call, delay).await {
+        if self.wait_before_response(call, delay).await {
             self.reject(call).await
         } else {
             Ok(ConnectionState::Closed)
         }
     }
 
-    async fn write_answer(&mut self, call: &OpenCall, answer: ListAnswer) -> io::Result<ConnectionState> {
-        call.begin_answer(answer.outcome);
-        call.end(answer.outcome);
-        self.respond("200 OK", &answer.body).await?;
+    async fn write_response(
+        &mut self,
+        call: &OpenCall,
+        response: ListResponse,
+    ) -> io::Result<ConnectionState> {
+        call.begin_response(response.outcome);
+        call.end(response.outcome);
+        self.respond("200 OK", &response.body).await?;
         Ok(ConnectionState::KeepAlive)
     }
 
-    async fn answer_late(
+    async fn respond_late(
         &mut self,
         call: &OpenCall,
         delay: Duration,
-        content: AnswerContent,
+        content: ResponseContent,
     ) -> io::Result<ConnectionState> {
-        let answer_when_due = call.answer();
-        if !self.wait_before_answer(call, delay).await {
+        let response_when_due = call.response();
+        if !self.wait_before_response(call, delay).await {
             return Ok(ConnectionState::Closed);
         }
-        let answer = match content {
-            AnswerContent::WhenDue => answer_when_due,
-            AnswerContent::WhenWritten => call.answer(),
+        let response = match content {
+            ResponseContent::WhenDue => response_when_due,
+            ResponseContent::WhenWritten => call.response(),
         };
-        self.write_answer(call, answer).await
+        self.write_response(call, response).await
     }
 
-    async fn answer_in_turn(
+    async fn respond_in_turn(
         &mut self,
         call: &OpenCall,
         service_time: Duration,
@@ -282,21 +288,21 @@
             call.end(CallOutcome::Abandoned);
             return Ok(ConnectionState::Closed);
         }
-        self.write_answer(call, call.answer()).await
+        self.write_response(call, call.response()).await
     }
 
     async fn drip(&mut self, call: &OpenCall, duration: Duration) -> io::Result<ConnectionState> {
-        let answer = call.answer();
-        self.stream.write_all(head("200 OK", &answer.body).as_bytes()).await?;
-        let piece_length = answer.body.len().div_ceil(DRIP_PIECES as usize);
-        for piece in answer.body.as_bytes().chunks(piece_length) {
-            if !self.wait_before_answer(call, duration / DRIP_PIECES).await {
+        let response = call.response();
+        self.stream.write_all(head("200 OK", &response.body).as_bytes()).await?;
+        let piece_length = response.body.len().div_ceil(DRIP_PIECES as usize);
+        for piece in response.body.as_bytes().chunks(piece_length) {
+            if !self.wait_before_response(call, duration / DRIP_PIECES).await {
                 return Ok(ConnectionState::Closed);
             }
             self.stream.write_all(piece).await?;
         }
-        call.begin_answer(answer.outcome);
-        call.end(answer.outcome);
+        call.begin_response(response.outcome);
+        call.end(response.outcome);
         Ok(ConnectionState::KeepAlive)
     }
 
@@ -313,27 +319,27 @@
     }
 
     async fn write_half(&mut self, call: &OpenCall) -> io::Result<()> {
-        let ListAnswer { body, outcome } = call.answer();
-        call.begin_answer(outcome);
+        let ListResponse { body, outcome } = call.response();
+        call.begin_response(outcome);
         sleep(self.shared.latency()).await;
         self.stream.write_all(head("200 OK", &body).as_bytes()).await?;
         self.stream.write_all(&body.as_bytes()[..body.len() / 2]).await
     }
 
-    async fn answer_with_fault(
+    async fn respond_with_fault(
         &mut self,
         call: &OpenCall,
-        fault: AnswerFault,
+        fault: ResponseFault,
     ) -> io::Result<ConnectionState> {
         match fault {
-            AnswerFault::BreakOff => self.break_off(call).await,
-            AnswerFault::Stall => self.stall(call).await,
-            AnswerFault::Lose => {
-                call.begin_answer(call.answer().outcome);
+            ResponseFault::BreakOff => self.break_off(call).await,
+            ResponseFault::Stall => self.stall(call).await,
+            ResponseFault::Lose => {
+                call.begin_response(call.response().outcome);
                 self.stream.set_zero_linger()?;
                 Ok(ConnectionState::Closed)
             }
-            AnswerFault::Outdated(delay) => self.answer_late(call, delay, AnswerContent::WhenDue).await,
+            ResponseFault::Outdated(delay) => self.respond_late(call, delay, ResponseContent::WhenDue).await,
         }
     }
 
--- a/tests/support/discovery_state.rs
+++ b/tests/support/discovery_state.rs
@@ -1,8 +1,8 @@
 //! The state of a scripted discovery service: its list and its history.
 
 use super::discovery_history::{
-    AnswerFault, BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory,
-    DiscoveryQuery, ListVersion, Route,
+    BehaviorPeriod, CallEnd, CallOutcome, DiscoveryBehavior, DiscoveryCall, DiscoveryHistory, DiscoveryQuery,
+    ListVersion, ResponseFault, Route,
 };
 use super::discovery_stub::endpoint_list;
 use super::drain_rules::MAX_WATCH_GAP;
@@ -16,8 +16,8 @@
     changed_in: usize,
 }
 
-/// An answer to a call, before it is written.
-pub(super) struct ListAnswer {
+/// A response to a call, before it is written.
+pub(super) struct ListResponse {
     pub body: String,
     pub outcome: CallOutcome,
 }
@@ -31,8 +31,8 @@
     oldest: (u64, usize),
     /// Callers with an older version than the one of this index receive the complete list.
     replaced_in: usize,
-    /// The fault of the next answer to each caller.
-    faults: BTreeMap<usize, AnswerFault>,
+    /// The fault of the next response to each caller.
+    faults: BTreeMap<usize, ResponseFault>,
     /// The ids of the messages in the notices of forwarders.
     pub noticed_messages: BTreeSet<String>,
 }
@@ -157,18 +157,18 @@
         self.history.calls.len() - 1
     }
 
-    /// Sets the fault of the next answer to a caller.
-    pub(super) fn set_answer_fault(&mut self, caller: usize, fault: AnswerFault) {
+    /// Sets the fault of the next response to a caller.
+    pub(super) fn set_fault(&mut self, caller: usize, fault: ResponseFault) {
         self.faults.insert(caller, fault);
     }
 
-    /// Removes and returns the fault of the next answer to a caller.
-    pub(super) fn take_fault(&mut self, caller: usize) -> Option<AnswerFault> {
+    /// Removes and returns the fault of the next response to a caller.
+    pub(super) fn take_fault(&mut self, caller: usize) -> Option<ResponseFault> {
         self.faults.remove(&caller)
     }
 
-    /// Records that the first byte of an answer is written.
-    pub(super) fn begin_answer(&mut self, index: usize, outcome: CallOutcome) {
+    /// Records that the first byte of a response is written.
+    pub(super) fn begin_response(&mut self, index: usize, outcome: CallOutcome) {
         self.history.calls[index].written.get_or_insert(CallEnd { at: Instant::now(), outcome });
     }
 
@@ -182,8 +182,8 @@
         revision != self.revision()
     }
 
-    /// The answer that reports the present list.
-    pub(super) fn answer(&self, query: DiscoveryQuery) -> ListAnswer {
+    /// The response that reports the present list.
+    pub(super) fn response(&self, query: DiscoveryQuery) -> ListResponse {
         let version = self.latest_version();
         let after_version = match query {
             DiscoveryQuery::CompleteList => None,
@@ -199,7 +199,7 @@
             .filter(|record| after_version.is_some() || record["state"] != "terminated")
             .collect();
         let body = endpoint_list(self.revision(), after_version.is_none(), records).to_string();
-        ListAnswer { body, outcome }
+        ListResponse { body, outcome }
     }
 
     /// The index of the version that a caller with this revision has; `None` if it needs the complete list.
--- a/tests/support/drain_scenario.rs
+++ b/tests/support/drain_scenario.rs
@@ -65,27 +65,27 @@
     ) -> Self {
         let (draining, staying) = (FirstByteEndpoint::start().await, FirstByteEndpoint::start().await);
         let scenario =
-            DrainScenario::start_between(mode, sender_count, kind, [draining, staying], change).await;
+            DrainScenario::start_with_endpoints(mode, sender_count, kind, [draining, staying], change).await;
         scenario.until_called(&scenario.draining).await;
         scenario
     }
 
     /// Starts with a service that has this behavior from the beginning, and waits until the endpoint that
     /// will drain is called.
-    pub(crate) async fn start_at(
+    pub(crate) async fn start_with_behavior(
         behavior: DiscoveryBehavior,
         mode: DiscoveryMode,
         sender_count: u64,
     ) -> Self {
         let endpoints = [FirstByteEndpoint::start().await, FirstByteEndpoint::start().await];
         let scenario =
-            DrainScenario::start_behaving(behavior, mode, sender_count, "plain", endpoints, |_| {}).await;
+            DrainScenario::start_scenario(behavior, mode, sender_count, "plain", endpoints, |_| {}).await;
         scenario.until_called(&scenario.draining).await;
         scenario
     }
 
     /// Starts with these endpoints: the one that will drain and the one that will stay.
-    pub(crate) async fn start_between(
+    pub(crate) async fn start_with_endpoints(
         mode: DiscoveryMode,
         sender_count: u64,
         kind: &str,
@@ -93,10 +93,10 @@
         change: impl FnOnce(&mut Value),
     ) -> Self {
         let healthy = DiscoveryBehavior::Healthy;
-        DrainScenario::start_behaving(healthy, mode, sender_count, kind, endpoints, change).await
+        DrainScenario::start_scenario(healthy, mode, sender_count, kind, endpoints, change).await
     }
 
-    async fn start_behaving(
+    async fn start_scenario(
         behavior: DiscoveryBehavior,
         mode: DiscoveryMode,
         sender_count: u64,
--- a/tests/support/scripted_discovery.rs
+++ b/tests/support/scripted_discovery.rs
@@ -1,7 +1,7 @@
 //! A discovery service whose list and behavior the test can change at any time.
 
 use super::discovery_connection::serve_connection;
-use super::discovery_history::{AnswerFault, DiscoveryBehavior, DiscoveryHistory};
+use super::discovery_history::{DiscoveryBehavior, DiscoveryHistory, ResponseFault};
 use super::discovery_state::DiscoveryState;
 use super::{EVENT_TIMEOUT, POLL_INTERVAL};
 use serde_json::Value;
@@ -167,9 +167,9 @@
         self.shared.notify();
     }
 
-    /// Sets the fault of the next answer to a caller.
-    pub(crate) fn set_answer_fault(&self, caller: usize, fault: AnswerFault) {
-        self.shared.lock().set_answer_fault(caller, fault);
+    /// Sets the fault of the next response to a caller.
+    pub(crate) fn set_fault(&self, caller: usize, fault: ResponseFault) {
+        self.shared.lock().set_fault(caller, fault);
     }
 
     /// Never answers the calls that are open now. Later calls are answered.
@@ -235,7 +235,7 @@
         self.until(|history| history.calls.iter().any(|call| !call.has_failed())).await;
     }
 
-    /// Waits until an answer with the latest version of the list was written.
+    /// Waits until a response with the latest version of the list was written.
     pub(crate) async fn until_latest_list_is_written(&self) {
         self.until(|history| {
             let latest = history.versions.len() - 1;
--- a/tests/support_soak/plan.rs
+++ b/tests/support_soak/plan.rs
@@ -3,7 +3,8 @@
 use super::additional_faults;
 use super::random::Choices;
 use crate::support::{
-    AnswerContent, AnswerFault, ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, StartOptions,
+    ClockStep, DiscoveryBehavior, DiscoveryMode, EndpointBehavior, ResponseContent, ResponseFault,
+    StartOptions,
 };
 use std::time::Duration;
 
@@ -39,7 +40,7 @@
     /// The endpoint with this index is listed in service, for the first time or again.
     Add(usize),
     /// The next response to this member fails in this way.
-    FailResponse(usize, AnswerFault),
+    FailResponse(usize, ResponseFault),
     /// Discovery behaves like this for some time.
     Discovery(DiscoveryBehavior, Duration),
     /// Discovery resets all connections, and its revisions start from 1.
@@ -196,8 +197,9 @@
 ) {
     for _ in 0..choices.number(1..5) {
         let member = choices.number(0..senders) as usize;
-        let outdated = AnswerFault::Outdated(choices.milliseconds(50..300));
-        let fault = choices.one_of(&[AnswerFault::Stall, AnswerFault::BreakOff, AnswerFault::Lose, outdated]);
+        let outdated = ResponseFault::Outdated(choices.milliseconds(50..300));
+        let fault =
+            choices.one_of(&[ResponseFault::Stall, ResponseFault::BreakOff, ResponseFault::Lose, outdated]);
         incidents.push((choices.milliseconds(1000..LAST_FAULT_MS), Incident::FailResponse(member, fault)));
     }
     for percent in [60, 20] {
@@ -223,7 +225,7 @@
         DiscoveryBehavior::Reset,
         DiscoveryBehavior::NeverAccept,
     ];
-    let content = choices.one_of(&[AnswerContent::WhenDue, AnswerContent::WhenWritten]);
+    let content = choices.one_of(&[ResponseContent::WhenDue, ResponseContent::WhenWritten]);
     let slow = [
         DiscoveryBehavior::Silent,
         DiscoveryBehavior::Stall,
@@ -252,8 +254,8 @@
     }
 }
 
-/// Plans the steps of a member: its process may be unable to write its state, be paused, get another address
-/// of discovery and be upgraded, and is restarted, later than that of the member before.
+/// Plans the steps of a member: possibly a time in which its state cannot be written, a pause, a move of
+/// discovery and an upgrade, and then a restart, which is later than that of the member before.
 fn plan_member(choices: &mut Choices, member: u64, senders: u64) -> MemberPlan {
     let restart_interval = MEMBER_RESTART_INTERVAL.min(MAX_ROLLING_RESTART / senders as u32);
     let mut steps =
